--- a/include/spokesail/admission.h
+++ b/include/spokesail/admission.h
@@ -31,13 +31,13 @@
 };
 
 /// What decides turns beside the workspaces' shares.
-struct queue_order {
+struct queue_policy {
   /// Whether higher priorities go first among workspaces too.
-  bool urgent_first = false;
+  bool priority_across_workspaces = false;
   /// Each so many turns, one goes to the kind and workspace that has waited
   /// for most turns; 0 if none does.
-  int floor_every = 0;
-  bool operator==(const queue_order&) const = default;
+  int starvation_guard_interval = 0;
+  bool operator==(const queue_policy&) const = default;
 };
 
 /// Requests waiting for one model or service. Workspaces take turns by weight
@@ -45,7 +45,7 @@
 /// turns by cost, then arrival.
 class fair_queue {
  public:
-  explicit fair_queue(queue_order order = {}) : order(order) {}
+  explicit fair_queue(queue_policy order = {}) : order(order) {}
 
   /// Adds a request; false if the queue holds `limit` already, if the
   /// workspace alone holds more than its share of a queue that is half full, or
@@ -92,22 +92,22 @@
   /// The request whose turn it is; nothing if none waits.
   std::optional<position> turn() const;
   /// The workspace whose turn it is by priority and share.
-  std::optional<position> turn_by_share() const;
+  std::optional<position> next_by_share() const;
   /// The request of the kind and workspace that has waited for most turns.
-  std::optional<position> turn_by_floor() const;
+  std::optional<position> next_by_starvation_guard() const;
   /// Who goes first in a line, of one kind or of all.
-  static size_t first_of(const line& line, const std::string* kind);
+  static size_t first_in_line(const line& line, const std::string* kind);
   /// Brings the virtual time on to what was served at the tag `served`.
   void advance(double served);
   /// Whether a caller holds more than its part of its workspace's share.
-  static bool holds_too_much(const line& line, const std::string& caller,
-                             size_t share);
+  static bool exceeds_caller_share(const line& line, const std::string& caller,
+                                   size_t share);
   /// Gives a caller a turn of its own, not before those that are being served.
   static void join(line& line, const std::string& caller);
   /// Forgets callers that have nothing waiting and nothing counted.
-  static void forget_callers(line& line);
+  static void prune_callers(line& line);
 
-  queue_order order;
+  queue_policy order;
   std::map<std::string, line> lines;
   double virtual_time = 0;
   size_t count = 0;
@@ -125,7 +125,7 @@
       : rate(rate), burst(burst), tokens(burst) {}
 
   /// Takes `amount` tokens if there are as many.
-  bool take(double amount, absl::Time now);
+  bool try_consume(double amount, absl::Time now);
 
   /// Adds tokens, up to the burst.
   void add(double amount);
--- a/include/spokesail/byte-budget.h
+++ b/include/spokesail/byte-budget.h
@@ -14,10 +14,10 @@
   /// Holds at most `limit` bytes; 0 for no limit.
   explicit byte_budget(size_t limit) : limit(limit) {}
 
-  void add(size_t bytes) { this->held_bytes += bytes; }
-  void remove(size_t bytes) { this->held_bytes -= bytes; }
+  void add(size_t bytes) { this->byte_charge += bytes; }
+  void remove(size_t bytes) { this->byte_charge -= bytes; }
 
-  size_t held() const { return this->held_bytes; }
+  size_t held() const { return this->byte_charge; }
   /// Begins an answer that will grow, and ends it. Returns its number.
   uint64_t begin_answer();
   void end_answer(uint64_t answer) { this->answers.erase(answer); }
@@ -26,23 +26,23 @@
   bool may_grow(uint64_t answer) const;
   /// Whether a further request may be taken. The rest is for the answers to
   /// those that are under way.
-  bool takes_requests() const;
+  bool accepts_requests() const;
 
  private:
   size_t limit;
-  size_t held_bytes = 0;
+  size_t byte_charge = 0;
   uint64_t last_answer = 0;
   /// Answers that grow, the oldest first.
   std::set<uint64_t> answers;
 };
 
 /// Bytes that count in a budget for as long as this lives.
-class held_bytes {
+class byte_charge {
  public:
-  explicit held_bytes(byte_budget& budget) : budget(budget) {}
-  ~held_bytes() { this->set(0); }
-  held_bytes(const held_bytes&) = delete;
-  held_bytes& operator=(const held_bytes&) = delete;
+  explicit byte_charge(byte_budget& budget) : budget(budget) {}
+  ~byte_charge() { this->set(0); }
+  byte_charge(const byte_charge&) = delete;
+  byte_charge& operator=(const byte_charge&) = delete;
 
   /// Counts so many bytes in place of those before.
   void set(size_t bytes);
@@ -53,20 +53,20 @@
 };
 
 /// Bytes of an answer that grows while it is read.
-class held_answer {
+class answer_charge {
  public:
-  explicit held_answer(byte_budget& budget)
+  explicit answer_charge(byte_budget& budget)
       : budget(budget), bytes(budget), number(budget.begin_answer()) {}
-  ~held_answer() { this->budget.end_answer(this->number); }
-  held_answer(const held_answer&) = delete;
-  held_answer& operator=(const held_answer&) = delete;
+  ~answer_charge() { this->budget.end_answer(this->number); }
+  answer_charge(const answer_charge&) = delete;
+  answer_charge& operator=(const answer_charge&) = delete;
 
   void set(size_t size) { this->bytes.set(size); }
   bool may_grow() const { return this->budget.may_grow(this->number); }
 
  private:
   byte_budget& budget;
-  held_bytes bytes;
+  byte_charge bytes;
   uint64_t number;
 };
 
--- a/include/spokesail/change-relay.h
+++ b/include/spokesail/change-relay.h
@@ -12,13 +12,13 @@
 namespace spokesail {
 
 /// What a follower says of the changes that it has.
-struct change_question {
+struct follower_position {
   /// It knows all changes up to this revision.
   int64_t known = 0;
   /// It was told of changes after this revision, which do not follow on those;
   /// 0 if of none.
-  int64_t told_after = 0;
-  bool operator==(const change_question&) const = default;
+  int64_t unapplied_after = 0;
+  bool operator==(const follower_position&) const = default;
 };
 
 /// What a relay has told those that ask it. Times are the caller's; nothing
@@ -26,32 +26,33 @@
 class change_sender {
  public:
   /// What a relay knows: the revisions up to which it has all changes.
-  struct state {
+  struct known_revisions {
     int64_t servers = 0;
     int64_t config = 0;
-    bool operator==(const state&) const = default;
+    bool operator==(const known_revisions&) const = default;
   };
 
   /// Who is to be told unasked, and of all changes after which revision.
-  struct telling {
+  struct pending_update {
     std::string follower;
     int64_t from = 0;
-    bool operator==(const telling&) const = default;
+    bool operator==(const pending_update&) const = default;
   };
 
   /// Takes a question of a follower. Returns the revision from which on it is
   /// to be told.
-  int64_t on_question(const std::string& follower,
-                      const change_question& question, absl::Time now);
+  int64_t on_request(const std::string& follower,
+                     const follower_position& position, absl::Time now);
 
   /// Takes note of a message to a follower that holds all changes after `from`
   /// up to `to`, and names the configuration's revision `config`.
-  void on_told(const std::string& follower, int64_t from, int64_t to,
+  void on_sent(const std::string& follower, int64_t from, int64_t to,
                int64_t config, absl::Time now);
 
   /// The followers that lack what is known now. Those that have not asked for
   /// a while are forgotten.
-  std::vector<telling> due(const state& now_known, absl::Time now);
+  std::vector<pending_update> pending_updates(const known_revisions& now_known,
+                                              absl::Time now);
 
  private:
   /// One message to a follower.
@@ -61,12 +62,12 @@
     absl::Time at;
   };
   /// Whether the follower that asks so will not hear of the message any more.
-  static bool lost(const message& sent, const change_question& question,
-                   absl::Time now);
+  static bool is_lost(const message& sent, const follower_position& position,
+                      absl::Time now);
   /// Who asked this node lately, and what was last passed on.
   struct follower_state {
-    absl::Time asked;
-    state told;
+    absl::Time last_request;
+    known_revisions sent_up_to;
     /// Messages that the follower has not said to know, in order.
     std::deque<message> unconfirmed;
   };
@@ -82,16 +83,16 @@
   bool on_message(int64_t from, int64_t known);
 
   /// What to ask a relay.
-  change_question question(int64_t known) const;
+  follower_position position(int64_t known) const;
 
   /// Whether to ask now rather than when the next question is due. To be asked
   /// when a message did not follow; takes note that a question is sent.
-  bool ask_at_once(int64_t known, absl::Time now);
+  bool request_out_of_turn(int64_t known, absl::Time now);
 
  private:
   /// After which revision the latest changes came that did not follow.
-  int64_t told_after = 0;
-  absl::Time asked = absl::InfinitePast();
+  int64_t unapplied_after = 0;
+  absl::Time last_request = absl::InfinitePast();
 };
 
 }  // namespace spokesail
--- a/include/spokesail/question-window.h
+++ b/include/spokesail/congestion-window.h
@@ -20,7 +20,7 @@
   double most = 256;
   /// After a loss the window stays for this long, since questions that were
   /// sent before it tell nothing new.
-  absl::Duration settle_time = absl::Milliseconds(300);
+  absl::Duration min_shrink_interval = absl::Milliseconds(300);
   /// A node whose loop is later than this reads answers late. A step of a
   /// holder of 2,000 servers takes less on an eighth of a core.
   absl::Duration late = absl::Milliseconds(60);
@@ -34,9 +34,9 @@
 /// 931 questions at once a holder on an eighth of a core finds up to half of
 /// its servers silent. Servers that are gone say nothing of the node: when a
 /// tenth of them went, a window that they halved held repairs up for 1.4 s.
-class question_window {
+class congestion_window {
  public:
-  explicit question_window(const window_limits& limits = {})
+  explicit congestion_window(const window_limits& limits = {})
       : limits(limits), size(limits.first) {}
 
   /// Whether another question may be sent now.
@@ -50,8 +50,8 @@
   void sent(const std::string& server) { this->asked.insert(server); }
   /// Takes the end of a question, and how late the node's loop was at worst of
   /// late. False if none was open.
-  bool ended(const std::string& server, bool answered, absl::Duration own_delay,
-             absl::Time now);
+  bool ended(const std::string& server, bool answered,
+             absl::Duration loop_delay, absl::Time now);
   double limit() const { return this->size; }
 
  private:
--- a/include/spokesail/controller.h
+++ b/include/spokesail/controller.h
@@ -50,7 +50,7 @@
   absl::Duration order_deadline = absl::Seconds(1);
   /// An accepted order is repeated if the host still reports otherwise.
   absl::Duration order_repeat = absl::Seconds(2);
-  absl::Duration plan_every = absl::Milliseconds(200);
+  absl::Duration plan_interval = absl::Milliseconds(200);
   absl::Duration drain_settle = absl::Seconds(3);
   policy_kind policy = policy_kind::best_fit;
 };
@@ -96,7 +96,8 @@
   std::optional<object> on_placement_answer(const platform_answer& answer);
 
   /// Takes the end of an order.
-  void on_order(const std::string& host, order_status status, absl::Time now);
+  void on_order_result(const std::string& host, order_status status,
+                       absl::Time now);
 
  private:
   struct order_record {
@@ -134,17 +135,17 @@
                                           const std::string& domain) const;
   std::vector<order> due_orders(const controller_view& view, absl::Time now);
   plan_input make_plan_input(const controller_view& view, absl::Time now) const;
-  void note_draining(absl::Time now);
+  void update_draining(absl::Time now);
   bool may_send(const std::string& host, absl::Time now) const;
 
   std::string hall;
   controller_timing timing;
   lease own_lease;
   std::shared_ptr<const domain_policy> policy;
-  int64_t led_fence = -1;
-  absl::Time led_since = absl::InfiniteFuture();
-  bool taken_over = false;
-  bool fresh = false;
+  int64_t term_fence = -1;
+  absl::Time term_since = absl::InfiniteFuture();
+  bool placement_owned = false;
+  bool placement_read = false;
   object base;
   placement current;
   std::optional<document_write> write;
--- a/include/spokesail/crash-spread.h
+++ b/include/spokesail/crash-spread.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "spokesail/crash-ledger.h"
+#include "spokesail/crash-tracker.h"
 #include "spokesail/hash.h"
 
 namespace spokesail {
@@ -28,17 +28,17 @@
   static constexpr size_t fanout = 3;
   /// Rounds in which a node passes something on, beside one for each doubling
   /// of the fleet.
-  static constexpr int least_rounds = 4;
+  static constexpr int base_rounds = 4;
   /// Nodes that are told of a single crash, and in how many rounds.
   static constexpr size_t collectors = 3;
   static constexpr int collector_rounds = 2;
   /// Requests in one message: less than 8 KB.
-  static constexpr size_t most_told = 60;
+  static constexpr size_t max_updates = 60;
 
   /// A message to another node.
   struct message {
     std::string peer;
-    std::vector<crash_news> news;
+    std::vector<crash_update> news;
     bool operator==(const message&) const = default;
   };
 
@@ -46,27 +46,28 @@
 
   /// What to send in this round, with `peers` known to live. Takes the
   /// ledger's changes.
-  std::vector<message> round(crash_ledger& ledger,
-                             const std::vector<std::string>& peers,
-                             random_stream& random, absl::Time now);
+  std::vector<message> next_round(crash_tracker& ledger,
+                                  const std::vector<std::string>& peers,
+                                  random_stream& random, absl::Time now);
 
  private:
   /// Notes what has changed, to be passed on from now on.
-  void heat(crash_ledger& ledger, size_t nodes);
+  void queue_changes(crash_tracker& ledger, size_t nodes);
   /// What to tell all nodes.
-  std::vector<message> tell_wide(const crash_ledger& ledger,
-                                 const std::vector<std::string>& peers,
-                                 random_stream& random, absl::Time now);
+  std::vector<message> broadcast_messages(const crash_tracker& ledger,
+                                          const std::vector<std::string>& peers,
+                                          random_stream& random,
+                                          absl::Time now);
   /// What to tell the collectors of each request alone.
-  std::vector<message> tell_collectors(const crash_ledger& ledger,
-                                       const std::vector<std::string>& peers,
-                                       absl::Time now);
+  std::vector<message> collector_messages(const crash_tracker& ledger,
+                                          const std::vector<std::string>& peers,
+                                          absl::Time now);
 
   std::string self;
   /// Requests that all nodes are told of, also once they are cleared.
-  std::set<request_identity> wide;
+  std::set<request_identity> broadcast;
   /// Rounds that are left, by request.
-  std::map<request_identity, int> hot;
+  std::map<request_identity, int> rounds_left;
 };
 
 }  // namespace spokesail
--- a/include/spokesail/crash-ledger.h
+++ b/include/spokesail/crash-tracker.h
@@ -15,7 +15,7 @@
 namespace spokesail {
 
 /// Stands for one start of a server.
-uint64_t server_start(const std::string& server, int64_t incarnation);
+uint64_t incarnation_hash(const std::string& server, int64_t incarnation);
 
 /// Counts the servers that ended under each request, and quarantines a request
 /// once so many did that it must be the cause. Times are the caller's; nothing
@@ -31,32 +31,32 @@
 /// every 1.7 s and two in five at once, no guilty request), a plain count of
 /// three ends refuses 1,691 of 1.4 million requests, three ends that no run got
 /// past 9, and this none.
-class crash_ledger {
+class crash_tracker {
  public:
   /// Servers that have to end under a request that they had begun to answer.
   /// Two is what a caller's attempt may meet by chance while hosts fail one
   /// after the other.
-  static constexpr size_t proof = 3;
+  static constexpr size_t begun_crash_threshold = 3;
   /// Servers that have to end under it if some had not begun. Both attempts of
   /// a caller that tries again may meet three by chance.
-  static constexpr size_t proof_unbegun = 4;
+  static constexpr size_t crash_threshold = 4;
   /// How many of them it has to have been sent to after another had ended.
   /// Without this, groups that crash at once would have requests with one and
   /// the same content refused.
-  static constexpr size_t proof_repeated = 2;
+  static constexpr size_t repeated_crash_threshold = 2;
   /// A request is remembered for this long after a server last ended under it,
   /// or it passed. Long enough for callers that come back after minutes; a
   /// release may have mended what it ran into.
-  static constexpr absl::Duration memory = absl::Minutes(30);
+  static constexpr absl::Duration retention = absl::Minutes(30);
   /// Requests that are remembered at most, 1 KB each or less.
-  static constexpr size_t most_requests = 8192;
+  static constexpr size_t max_requests = 8192;
   /// The part of them that may belong to one workspace, so that none can push
   /// out what is known of the others' requests.
-  static constexpr size_t workspace_share = 4;
+  static constexpr size_t workspace_divisor = 4;
 
   /// Takes note that a server ended under a request.
   void add_crash(const request_identity& request, uint64_t server,
-                 const crash_end& end, absl::Time now);
+                 const server_crash& end, absl::Time now);
 
   /// Takes note that a run got so far. Requests under which no server ended
   /// are not remembered by it.
@@ -64,7 +64,7 @@
                     absl::Time now);
 
   /// Takes what another node knows of a request.
-  void take(const crash_news& said, absl::Time now);
+  void take(const crash_update& said, absl::Time now);
 
   /// Whether a request is not to be sent to any server.
   bool quarantined(const request_identity& request) const;
@@ -77,22 +77,24 @@
   size_t count(const request_identity& request) const;
 
   /// Whether a request is remembered.
-  bool knows(const request_identity& request) const {
+  bool contains(const request_identity& request) const {
     return this->records.count(request) != 0;
   }
 
   /// Whether one more server that ends can quarantine a request.
   bool suspected(const request_identity& request) const {
-    return this->count(request) + 1 >= proof;
+    return this->count(request) + 1 >= begun_crash_threshold;
   }
 
   /// What to tell of a request; nothing if it is not remembered.
-  std::optional<crash_news> tell(const request_identity& request,
-                                 absl::Time now) const;
+  std::optional<crash_update> tell(const request_identity& request,
+                                   absl::Time now) const;
 
   /// All requests under which enough servers ended, whether or not others
   /// explain it, in order.
-  const std::set<request_identity>& proved() const { return this->guilty; }
+  const std::set<request_identity>& requests_over_threshold() const {
+    return this->over_threshold;
+  }
 
   /// A hash of these, the same on all nodes that know the same.
   uint64_t digest() const;
@@ -110,23 +112,24 @@
  private:
   struct record {
     crash_evidence evidence;
-    absl::Time seen = absl::InfinitePast();
+    absl::Time updated_at = absl::InfinitePast();
   };
   /// Replaces what is known of a request.
-  void put(const request_identity& request, record next);
+  void store_record(const request_identity& request, record next);
   /// Makes room for one more request of a workspace.
-  void make_room(uint64_t workspace);
+  void evict_if_full(uint64_t workspace);
   /// Drops the request of a workspace that matters least.
-  void drop_least(uint64_t workspace);
+  void evict_least(uint64_t workspace);
   /// Whether so many servers ended that a request may be quarantined.
-  static bool enough(const crash_evidence& evidence);
+  static bool reaches_threshold(const crash_evidence& evidence);
   /// Whether a request whose count is greater ran on the server too.
-  bool explained(const request_identity& request, uint64_t server) const;
+  bool explained_by_other(const request_identity& request,
+                          uint64_t server) const;
 
   std::map<request_identity, record> records;
   /// Remembered requests by workspace.
   std::map<uint64_t, size_t> by_workspace;
-  std::set<request_identity> guilty;
+  std::set<request_identity> over_threshold;
   std::set<request_identity> changes;
 };
 
--- a/include/spokesail/demand-table.h
+++ b/include/spokesail/demand-table.h
@@ -26,17 +26,17 @@
  public:
   /// A word counts for this long: it is said once a second, and one or two may
   /// be lost.
-  static constexpr absl::Duration word_time = absl::Seconds(3);
+  static constexpr absl::Duration report_ttl = absl::Seconds(3);
   /// A hall that says nothing for this long has no callers either.
-  static constexpr absl::Duration hall_time = absl::Seconds(30);
+  static constexpr absl::Duration hall_ttl = absl::Seconds(30);
 
   /// Takes a node's word. An empty one says nothing.
-  void take_node(const std::string& node, const std::string& hall,
-                 const std::vector<model_demand>& said, absl::Time now);
+  void update_node(const std::string& node, const std::string& hall,
+                   const std::vector<model_demand>& said, absl::Time now);
 
   /// Takes the word of a whole hall, in place of its nodes' words.
-  void take_hall(const std::string& hall, const std::vector<model_demand>& said,
-                 absl::Time now);
+  void update_hall(const std::string& hall,
+                   const std::vector<model_demand>& said, absl::Time now);
 
   /// The sum of one hall's words and of this node's `own`.
   std::vector<model_demand> hall_sum(const std::string& hall,
@@ -47,19 +47,19 @@
   demand_view total(const std::vector<model_demand>& own, absl::Time now) const;
 
  private:
-  struct word {
+  struct node_report {
     std::vector<model_demand> demand;
     absl::Time at;
   };
   /// Words of one hall by node; of the whole hall under an empty name.
-  struct hall_words {
-    std::map<std::string, word> nodes;
+  struct hall_reports {
+    std::map<std::string, node_report> nodes;
     absl::Time at = absl::InfinitePast();
   };
-  void take(const std::string& hall, const std::string& node,
-            const std::vector<model_demand>& said, absl::Time now);
+  void store(const std::string& hall, const std::string& node,
+             const std::vector<model_demand>& said, absl::Time now);
 
-  std::map<std::string, hall_words> halls;
+  std::map<std::string, hall_reports> halls;
 };
 
 }  // namespace spokesail
--- a/include/spokesail/demand-window.h
+++ b/include/spokesail/demand-window.h
@@ -23,7 +23,7 @@
   /// tell models apart at a small node.
   static constexpr int window_s = 3;
   /// Models that are counted at most.
-  static constexpr size_t most_models = 64;
+  static constexpr size_t max_models = 64;
 
   /// Takes a request as arrived. A model beyond the bound is left out, and
   /// the answer is then false.
--- a/include/spokesail/document.h
+++ b/include/spokesail/document.h
@@ -78,7 +78,7 @@
 };
 
 /// How many write ids a document remembers.
-inline constexpr size_t remembered_writes = 32;
+inline constexpr size_t max_write_ids = 32;
 
 /// Makes a write of `spec` (a JSON object) on top of `base`. The ids that
 /// `base` remembers are kept, `write_id` is added to them.
@@ -90,10 +90,11 @@
 
 /// Takes the answer to the call that `next_call` gave. An unavailable platform
 /// leaves the state as it was: the same call is to be made again.
-document_write answered(document_write write, const platform_answer& answer);
+document_write apply_answer(document_write write,
+                            const platform_answer& answer);
 
 /// Whether `write` has ended.
-bool settled(const document_write& write);
+bool is_finished(const document_write& write);
 
 /// The ids of the last writes that `body` remembers, oldest first.
 std::vector<std::string> write_ids(const std::string& body);
--- a/include/spokesail/effect.h
+++ b/include/spokesail/effect.h
@@ -43,17 +43,17 @@
 };
 
 /// Send a beat to a peer.
-struct beat_effect {
+struct heartbeat_effect {
   std::string address;
-  beat content;
-  bool operator==(const beat_effect&) const = default;
+  heartbeat content;
+  bool operator==(const heartbeat_effect&) const = default;
 };
 
 /// Answer a beat.
-struct beat_ack_effect {
+struct heartbeat_ack_effect {
   uint64_t token = 0;
-  beat_ack content;
-  bool operator==(const beat_ack_effect&) const = default;
+  heartbeat_ack content;
+  bool operator==(const heartbeat_ack_effect&) const = default;
 };
 
 /// Pass objects on to a peer.
@@ -137,9 +137,9 @@
 
 using effect =
     std::variant<watch_effect, poll_effect, platform_effect, probe_effect,
-                 order_effect, beat_effect, beat_ack_effect, push_effect,
-                 pull_effect, pull_reply_effect, start_effect, cancel_effect,
-                 finish_effect, log_effect, status_effect, gauges_effect,
-                 exit_effect>;
+                 order_effect, heartbeat_effect, heartbeat_ack_effect,
+                 push_effect, pull_effect, pull_reply_effect, start_effect,
+                 cancel_effect, finish_effect, log_effect, status_effect,
+                 gauges_effect, exit_effect>;
 
 }  // namespace spokesail
--- a/include/spokesail/place-speed.h
+++ b/include/spokesail/endpoint-speed.h
@@ -6,15 +6,15 @@
 namespace spokesail {
 
 /// What one node has seen of a group or plain server of late.
-struct place_speed {
+struct endpoint_speed {
   /// Name of the group, or id of the server.
-  std::string place;
+  std::string endpoint;
   /// How much longer it takes than others of its kind, failures included; above
   /// 1 if slower.
   double slowness = 1;
   /// Requests that this is from, older ones counted for less.
   int samples = 0;
-  bool operator==(const place_speed&) const = default;
+  bool operator==(const endpoint_speed&) const = default;
 };
 
 }  // namespace spokesail
--- a/include/spokesail/engine-model.h
+++ b/include/spokesail/engine-model.h
@@ -17,11 +17,11 @@
   /// Requests in it, over all entry hosts.
   int running = 0;
   /// Prompt tokens that are sent and not yet answered with a first event.
-  double unread_tokens = 0;
+  double pending_prefill_tokens = 0;
   /// Above 1 if the group is slower than its engine's figures.
   double slowness = 1;
   /// What sending a request there counts as beside its time, in ms.
-  double distance_ms = 0;
+  double remote_penalty_ms = 0;
   bool operator==(const group_option&) const = default;
 };
 
--- a/include/spokesail/evacuation.h
+++ b/include/spokesail/evacuation.h
@@ -11,12 +11,12 @@
 
 /// The data halls that operators have evacuated, as of one revision of the
 /// store.
-struct evacuation_word {
+struct evacuation_snapshot {
   int64_t revision = 0;
   /// Age of the proof that this still holds.
   absl::Duration age = absl::InfiniteDuration();
   std::set<std::string> halls;
-  bool operator==(const evacuation_word&) const = default;
+  bool operator==(const evacuation_snapshot&) const = default;
 };
 
 }  // namespace spokesail
--- a/include/spokesail/event.h
+++ b/include/spokesail/event.h
@@ -52,14 +52,14 @@
 };
 
 /// A beat came in; it is answered under `token`.
-struct beat_event {
+struct heartbeat_event {
   uint64_t token = 0;
-  beat content;
+  heartbeat content;
 };
 
 /// A beat that was sent at `sent` was answered.
-struct beat_ack_event {
-  beat_ack content;
+struct heartbeat_ack_event {
+  heartbeat_ack content;
   absl::Time sent;
 };
 
@@ -107,7 +107,7 @@
 
 using event_body =
     std::variant<tick_event, object_event, list_event, peer_objects_event,
-                 pull_event, probe_event, beat_event, beat_ack_event,
+                 pull_event, probe_event, heartbeat_event, heartbeat_ack_event,
                  platform_event, order_event, request_event, attempt_event,
                  caller_gone_event, stop_event, status_event>;
 
--- a/include/spokesail/fleet-size.h
+++ b/include/spokesail/fleet-size.h
@@ -11,10 +11,10 @@
 /// Remembers the most nodes that lived at one time. A node that falls silent
 /// may be cut off and still act, so that nobody's part of a common limit may
 /// grow as soon as others are not heard.
-class fleet_size {
+class peak_fleet_size {
  public:
   /// Counts are kept for this long: regions may lose each other for an hour.
-  static constexpr absl::Duration memory = absl::Hours(2);
+  static constexpr absl::Duration retention = absl::Hours(2);
 
   /// Takes note of the nodes that live, this one included.
   void note(int nodes, absl::Time now);
--- a/include/spokesail/tell-pace.h
+++ b/include/spokesail/gossip-pacer.h
@@ -11,35 +11,36 @@
 /// Paces a node's messages to its hall. Requests that it has just sent are told
 /// at once, since the others else choose the same place by older news; all else
 /// waits for the period.
-class tell_pace {
+class gossip_pacer {
  public:
   /// Least time between two messages that tell of no new request.
-  static constexpr absl::Duration least_period = absl::Milliseconds(100);
+  static constexpr absl::Duration min_period = absl::Milliseconds(100);
   /// The period grows with the nodes of the hall, so that a node sends and
   /// receives at most about this many such messages a second; and this many
   /// that tell of new requests.
   static constexpr double messages_per_s = 160;
-  static constexpr double new_sends_per_s = 600;
+  static constexpr double new_request_messages_per_s = 600;
 
   /// Whether a message is due. `begun` counts the requests that this node has
   /// sent so far, `peers` the other nodes of the hall.
   bool due(uint64_t begun, int peers, absl::Time now) const {
-    const absl::Duration gap = absl::Seconds(peers / new_sends_per_s);
-    const bool sent = begun != this->told_begun;
-    return now >= this->next || (sent && now - this->told_at >= gap);
+    const absl::Duration gap =
+        absl::Seconds(peers / new_request_messages_per_s);
+    const bool sent = begun != this->sent_begun;
+    return now >= this->next || (sent && now - this->sent_at >= gap);
   }
 
   /// Takes note that the hall was told, or that there was nothing to tell.
-  void told(uint64_t begun, int peers, absl::Time now) {
-    this->told_begun = begun;
-    this->told_at = now;
+  void on_sent(uint64_t begun, int peers, absl::Time now) {
+    this->sent_begun = begun;
+    this->sent_at = now;
     this->next =
-        now + std::max(least_period, absl::Seconds(peers / messages_per_s));
+        now + std::max(min_period, absl::Seconds(peers / messages_per_s));
   }
 
  private:
-  uint64_t told_begun = 0;
-  absl::Time told_at = absl::InfinitePast();
+  uint64_t sent_begun = 0;
+  absl::Time sent_at = absl::InfinitePast();
   absl::Time next = absl::InfinitePast();
 };
 
--- a/include/spokesail/cold-allowance.h
+++ b/include/spokesail/grant-client.h
@@ -10,38 +10,38 @@
 #include <optional>
 #include <string>
 
-#include "spokesail/cold-grant.h"
-#include "spokesail/cold-timing.h"
+#include "spokesail/grant-messages.h"
+#include "spokesail/grant-timing.h"
 
 namespace spokesail {
 
 /// One node's grants. Each ends a fixed time after the question that it
 /// answers, whenever the answer came.
-class cold_allowance {
+class grant_client {
  public:
   /// Servers that are asked for at once, and requests for each of them.
-  static constexpr size_t most_servers = 32;
-  static constexpr int most_requests = 4;
+  static constexpr size_t max_servers = 32;
+  static constexpr int max_requests = 4;
   /// Requests asked for at once for each server that advertises a limit.
-  static constexpr int most_limited_requests = 32;
+  static constexpr int max_limited_requests = 32;
 
-  explicit cold_allowance(cold_timing timing = {})
-      : timing(timing), pause(timing.ask_period) {}
+  explicit grant_client(grant_timing timing = {})
+      : timing(timing), request_interval(timing.min_request_interval) {}
 
   /// Records demand for one request to a server, up to `most` requests per
   /// question.
-  void wish(const std::string& server, int64_t incarnation,
-            int most = most_requests);
+  void add_demand(const std::string& server, int64_t incarnation,
+                  int most = max_requests);
 
   /// Whether there is something to ask for, and it is time to.
-  bool due(absl::Time now) const;
+  bool request_due(absl::Time now) const;
   /// The question that is due, under a number that was not used before; its
   /// wishes are done with.
-  cold_request ask(uint64_t nonce, absl::Time now);
+  grant_request ask(uint64_t nonce, absl::Time now);
 
   /// Takes an answer. Returns the requests that it grants; 0 if its question is
   /// not known, was answered, or is too long ago.
-  int take(const cold_grant& said, absl::Time now);
+  int take(const grant_response& said, absl::Time now);
 
   /// Whether a grant for a server is available.
   bool has(const std::string& server, absl::Time now) const;
@@ -55,25 +55,25 @@
 
   /// Requests that may be sent.
   int held(absl::Time now) const;
-  const cold_timing& times() const { return this->timing; }
+  const grant_timing& times() const { return this->timing; }
 
  private:
-  struct portion {
+  struct grant_batch {
     absl::Time until;
     int count = 0;
   };
 
-  cold_timing timing;
-  std::map<std::string, server_count> wishes;
+  grant_timing timing;
+  std::map<std::string, server_request_count> demand_by_server;
   /// When each open question was asked.
-  std::map<uint64_t, absl::Time> questions;
+  std::map<uint64_t, absl::Time> pending_requests;
   /// By server, in the order in which they end.
-  std::map<std::string, std::deque<portion>> grants;
-  absl::Time asked = absl::InfinitePast();
+  std::map<std::string, std::deque<grant_batch>> grants;
+  absl::Time last_request_at = absl::InfinitePast();
   /// Time from the last question to the next.
-  absl::Duration pause;
+  absl::Duration request_interval;
   /// Whether a question was answered since the last.
-  bool answered = true;
+  bool last_request_granted = true;
 };
 
 }  // namespace spokesail
--- a/include/spokesail/group-controller-options.h
+++ b/include/spokesail/group-controller-options.h
@@ -11,18 +11,18 @@
 struct group_controller_options {
   /// How long an acknowledged order stands for a server's own word, which
   /// reaches this node through the store.
-  absl::Duration assume_time = absl::Milliseconds(1200);
+  absl::Duration assumption_ttl = absl::Milliseconds(1200);
   /// A server that did not answer is asked again after this long.
-  absl::Duration retry_probe = absl::Milliseconds(500);
+  absl::Duration probe_retry_interval = absl::Milliseconds(500);
   /// What a group may take to form beyond the time its slowest member needs.
-  absl::Duration form_slack = absl::Seconds(3);
+  absl::Duration formation_slack = absl::Seconds(3);
   /// How long running streams may end when a member is about to leave.
-  absl::Duration drain_wait = absl::Milliseconds(1500);
+  absl::Duration drain_timeout = absl::Milliseconds(1500);
   /// How long a group serves on at most with a member that has announced its
   /// stop: most of the time for which such a server still serves. Hosts that
   /// are replaced leave one after the other, and a group that is formed anew at
   /// each of them hardly serves.
-  absl::Duration leave_hold = absl::Milliseconds(1400);
+  absl::Duration leaving_member_grace = absl::Milliseconds(1400);
   /// Part of a domain's hosts kept free for repairs, 0 to 1, rounded up.
   /// A domain of eight keeps two, one of nineteen three.
   double spare_share = 0.15;
@@ -43,10 +43,10 @@
   /// than by the stated shares alone.
   bool follow_demand = false;
   /// What a change of that division has to bring.
-  share_rules division_rules;
+  reallocation_rules reallocation;
   /// How long the streams of a group may end whose hosts go to another model:
   /// as long as callers wait for the longest answers.
-  absl::Duration give_way_drain = absl::Seconds(8);
+  absl::Duration reassign_drain_timeout = absl::Seconds(8);
   /// Window in which loads from the weight store are counted, and the excess
   /// over the store's rate that it tolerates.
   absl::Duration load_window = absl::Seconds(5);
@@ -56,7 +56,7 @@
   int load_reserve = 5;
   /// A holder that finds more than this part of the servers silent in most
   /// data halls is itself cut off and gives its lease up.
-  double cut_off_share = 0.3;
+  double isolation_threshold = 0.3;
   bool operator==(const group_controller_options&) const = default;
 };
 
--- a/include/spokesail/group-controller.h
+++ b/include/spokesail/group-controller.h
@@ -14,23 +14,23 @@
 #include <utility>
 #include <vector>
 
+#include "spokesail/congestion-window.h"
 #include "spokesail/demand-table.h"
 #include "spokesail/group-controller-options.h"
-#include "spokesail/group-share.h"
+#include "spokesail/group-yield.h"
 #include "spokesail/model-shares.h"
-#include "spokesail/question-window.h"
 #include "spokesail/routing-config.h"
 #include "spokesail/server-directory.h"
 
 namespace spokesail {
 
 /// One change of what the controller believes, for the log.
-struct controller_note {
+struct controller_event {
   std::string event;
   /// The group or server that it is about.
   std::string subject;
   std::string reason;
-  bool operator==(const controller_note&) const = default;
+  bool operator==(const controller_event&) const = default;
 };
 
 /// A model's groups and hosts at one moment, for the log.
@@ -50,8 +50,8 @@
 struct group_actions {
   std::vector<group_order> orders;
   /// Servers to ask for their report.
-  std::vector<std::string> reports;
-  std::vector<controller_note> notes;
+  std::vector<std::string> report_requests;
+  std::vector<controller_event> notes;
   /// How the models stand; filled now and then.
   std::vector<model_summary> summaries;
   /// Whether this holder should give its lease up.
@@ -90,17 +90,17 @@
   void stop_term();
 
   /// Takes how late this node's loop was at worst of late.
-  void note_delay(absl::Duration delay) { this->own_delay = delay; }
+  void set_loop_delay(absl::Duration delay) { this->loop_delay = delay; }
 
   /// Takes the data halls whose servers get no requests. No group is formed
   /// there, and neither hosts nor groups there count; groups that stand are
   /// left as they are.
-  void close_halls(std::set<std::string> halls) {
+  void set_closed_halls(std::set<std::string> halls) {
     this->closed_halls = std::move(halls);
   }
 
   /// Takes what callers ask for, as far as this node knows.
-  void take_demand(const demand_view& known, absl::Time now) {
+  void update_demand(const demand_view& known, absl::Time now) {
     this->demand = known;
     this->demand_at = now;
   }
@@ -112,16 +112,17 @@
   void suspect(const std::string& server, absl::Time now);
 
   /// Takes the result of an order that `step` gave.
-  void on_order(const group_order& order, order_result result, absl::Time now);
+  void on_order_result(const group_order& order, order_result result,
+                       absl::Time now);
 
   /// Takes a server's report; nothing if it did not answer in time.
   void on_report(const std::string& server,
                  const std::optional<server_report>& report, absl::Time now);
 
-  /// Decides the next orders. `loads_count` is false while loads are still
+  /// Decides the next orders. `requests_seen` is false while loads are still
   /// free, before there are requests.
   group_actions step(const server_directory& directory,
-                     const routing_config& config, bool loads_count,
+                     const routing_config& config, bool requests_seen,
                      absl::Time now);
 
   /// Servers that do not answer, by id.
@@ -139,7 +140,7 @@
     /// The start that all else here is about; 0 if it is not known.
     int64_t incarnation = 0;
     /// Orders it has begun, by its own count; nothing until it has been asked.
-    std::optional<int64_t> orders_taken;
+    std::optional<int64_t> orders_started;
     /// The order that has no result yet.
     std::optional<group_order> pending;
     /// What it belongs to by an acknowledged order that its entry does not
@@ -153,33 +154,33 @@
     /// When it is to be asked; infinite future if it need not be.
     absl::Time probe_at = absl::InfiniteFuture();
     /// The model that it was told to stage, and when that should be done.
-    std::string staging;
+    std::string staging_model;
     absl::Time staging_until = absl::InfinitePast();
     /// The model that it was last told to join for.
     std::string last_model;
     /// Since when it has been about to stop; infinite future if it is not.
     absl::Time leaving_since = absl::InfiniteFuture();
     /// The group that it was told to leave as its head.
-    std::string leads;
+    std::string leaving_group;
   };
   /// Drops what was known of a server whose report is of a later start.
-  void take_restart(server_track& track, const server_report& report,
-                    absl::Time now);
+  void reset_after_restart(server_track& track, const server_report& report,
+                           absl::Time now);
   /// A group that this holder has decided to form.
   struct group_plan {
     std::string service;
     std::string model;
     int64_t epoch = 0;
     std::vector<std::string> members;
-    absl::Time give_up_at;
+    absl::Time deadline;
   };
   /// A group that one host joins to take weights into its engine.
   struct warmup {
     std::string server;
-    absl::Time give_up_at;
+    absl::Time deadline;
   };
   /// Hosts of one domain that could form a group.
-  struct formation {
+  struct group_candidate {
     const model_profile* model = nullptr;
     std::string domain;
     std::vector<std::string> members;
@@ -193,7 +194,7 @@
     size_t left = 0;
   };
   /// Groups that may be ended for a larger model.
-  struct endable_groups {
+  struct dissolvable_groups {
     std::set<std::string> names;
     /// How many of them that are not spare ones may be.
     int beyond_spares = 0;
@@ -208,9 +209,9 @@
   // Servers and orders: group-controller.cc.
 
   /// Takes servers that have come or gone, and what their entries confirm.
-  void take_directory(const server_directory& directory, absl::Time now);
+  void sync_directory(const server_directory& directory, absl::Time now);
   /// Asks servers whose state is in doubt.
-  void probe_silent(group_actions& out, absl::Time now);
+  void send_probes(group_actions& out, absl::Time now);
   /// Takes an order as carried out.
   void on_accepted(server_track& track, const group_order& order,
                    order_result result, absl::Time now);
@@ -218,7 +219,7 @@
   /// count of orders is not known.
   bool send(const server_entry& entry, group_order order, group_actions& out);
   /// Whether it is this holder, not the servers, that cannot be reached.
-  bool cut_off(const server_directory& directory) const;
+  bool is_isolated(const server_directory& directory) const;
   /// Whether the server answers and stays.
   bool usable(const server_entry& entry) const;
   /// Whether the server is in a data hall that is closed.
@@ -236,12 +237,12 @@
   /// Members of plans, with their plan's model; holds on to the plans' names.
   models_by_server planned_models() const;
   /// One service's servers and groups, acknowledged orders included.
-  service_state read_service(const server_directory& directory,
-                             const backend_service& service) const;
+  service_state build_service_state(const server_directory& directory,
+                                    const backend_service& service) const;
   /// Decides the next orders for one service.
-  void run_service(const server_directory& directory,
-                   const backend_service& service, bool loads_count,
-                   absl::Time now, group_actions& out);
+  void reconcile_service(const server_directory& directory,
+                         const backend_service& service, bool requests_seen,
+                         absl::Time now, group_actions& out);
 
   /// Adds how the models of a service stand, if that is due.
   void summarize(const service_state& s, absl::Time now, group_actions& out);
@@ -249,8 +250,8 @@
   // The end of groups: group-repair.cc.
 
   /// Opens a group that is ready, or dissolves one that cannot serve.
-  void judge_group(service_state& s, const group_view& group, absl::Time now,
-                   group_actions& out);
+  void reconcile_group(service_state& s, const group_view& group,
+                       absl::Time now, group_actions& out);
   /// Why a group is to end; nothing if it may stay.
   std::optional<std::string> reason_to_dissolve(const service_state& s,
                                                 const group_view& group,
@@ -261,24 +262,25 @@
                                                 absl::Time now) const;
   /// Whether a group that serves can do so on for now although a member is
   /// about to stop.
-  bool serves_on(const service_state& s, const group_view& group,
-                 const std::string& leaving, absl::Time now) const;
+  bool may_keep_serving(const service_state& s, const group_view& group,
+                        const std::string& leaving, absl::Time now) const;
   /// Takes the next step to end a group.
   void dissolve(const service_state& s, const group_view& group,
                 const std::string& reason, absl::Time now, group_actions& out);
   /// Ends a group whose head answers, on its way out since `since`.
-  void end_by_head(const service_state& s, const group_view& group,
-                   absl::Time since, absl::Time now, group_actions& out);
+  void dissolve_through_head(const service_state& s, const group_view& group,
+                             absl::Time since, absl::Time now,
+                             group_actions& out);
   /// Has the members behind a head that does not answer leave.
-  void free_survivors(const service_state& s, const group_view& group,
-                      group_actions& out);
+  void release_members(const service_state& s, const group_view& group,
+                       group_actions& out);
   /// Has free servers leave groups that are no more.
-  void clear_memberships(const service_state& s, group_actions& out);
+  void clear_stale_memberships(const service_state& s, group_actions& out);
 
   // The forming of groups: group-formation.cc.
 
   /// Whether no server has come or gone for a while.
-  bool settled(const service_state& s, absl::Time now);
+  bool server_count_stable(const service_state& s, absl::Time now);
   /// Whether a server may be told to join a group now.
   bool free_to_join(const service_state& s, const server_entry& entry) const;
   /// Time that a server would take to join a group of `model`.
@@ -297,21 +299,21 @@
   double wanted_groups(const service_state& s,
                        const model_profile& model) const;
   /// Groups that stand or form against those that are wanted.
-  double fill_of(const service_state& s, const model_profile& model) const;
+  double fill_ratio(const service_state& s, const model_profile& model) const;
   /// Whether each model has the groups that are wanted.
-  bool all_filled(const service_state& s) const;
+  bool all_models_filled(const service_state& s) const;
   /// The model that a group is to be formed for next; null if none lacks one.
   const model_profile* next_model(const service_state& s,
                                   const std::set<std::string>& passed_over,
-                                  bool loads_count) const;
+                                  bool requests_seen) const;
   /// The hosts that form a group of `model` at the least cost; nothing if no
   /// domain has enough of them.
-  std::optional<formation> best_formation(const service_state& s,
-                                          const model_profile& model,
-                                          const hosts_by_domain& free,
-                                          absl::Time now) const;
+  std::optional<group_candidate> best_candidate(const service_state& s,
+                                                const model_profile& model,
+                                                const hosts_by_domain& free,
+                                                absl::Time now) const;
   /// Plans the groups that are wanted, or stages their hosts first.
-  void form_groups(service_state& s, bool loads_count, absl::Time now,
+  void form_groups(service_state& s, bool requests_seen, absl::Time now,
                    group_actions& out);
   /// The epoch of the next group of this term.
   int64_t next_epoch();
@@ -327,33 +329,33 @@
   // Spares that serve: group-spares.cc.
 
   /// A model's groups that stand, first those whose hosts repairs need most.
-  std::vector<std::string> most_useful_to_repairs(
+  std::vector<std::string> groups_by_repair_value(
       const service_state& s, const model_profile& model) const;
   /// Groups beyond those that are wanted, whose hosts count as spares.
   std::set<std::string> spare_groups(const service_state& s) const;
   /// Ends spare groups whose hosts can form a group of `model` without a load.
   /// Whether such hosts are there, or on their way.
-  bool take_back_spares(service_state& s, const model_profile& model,
-                        hosts_by_domain& free, absl::Time now,
-                        group_actions& out);
+  bool reclaim_spares(service_state& s, const model_profile& model,
+                      hosts_by_domain& free, absl::Time now,
+                      group_actions& out);
   /// Whether groups that are wanted give way; never where spares do not serve.
-  bool yields() const {
+  bool yielding_enabled() const {
     return this->options.spares_serve && this->options.smaller_yield;
   }
   /// How a model stands, for the question of who gives way.
-  model_standing standing_of(const service_state& s,
-                             const model_profile& model) const;
+  model_group_counts group_counts_of(const service_state& s,
+                                     const model_profile& model) const;
   /// Groups that may be ended so that one of `model` can form.
-  endable_groups groups_to_end(const service_state& s,
-                               const model_profile& model) const;
+  dissolvable_groups find_dissolvable_groups(const service_state& s,
+                                             const model_profile& model) const;
   /// Hosts that could form a group of `model`: free ones, those of groups on
   /// their way out, and those of `to_end`.
-  hosts_by_domain hosts_in_reach(const service_state& s,
-                                 const model_profile& model,
-                                 const hosts_by_domain& free,
-                                 const std::set<std::string>& to_end) const;
+  hosts_by_domain reclaimable_hosts(const service_state& s,
+                                    const model_profile& model,
+                                    const hosts_by_domain& free,
+                                    const std::set<std::string>& to_end) const;
   /// Whether a group that stands is not on its way out.
-  bool stays(const std::string& group) const;
+  bool remains(const std::string& group) const;
   /// Has free hosts serve in further groups of a model whose weights they hold.
   void form_spare_groups(service_state& s, absl::Time now, group_actions& out);
 
@@ -365,28 +367,29 @@
   /// A group that is to form of hosts that other groups give.
   struct move_plan;
   /// The hosts that groups may be formed of, those kept for repairs left out.
-  host_room room_of(const service_state& s) const;
+  host_capacity available_capacity(const service_state& s) const;
   /// A division of hosts, and when it was last thought over.
-  struct service_division {
+  struct service_allocation {
     model_shares shares;
     absl::Time at = absl::InfinitePast();
   };
   /// The division of a service's hosts, begun as stated.
-  service_division& division_of(const std::string& service);
+  service_allocation& allocation_of(const std::string& service);
   /// Takes up the division of an earlier holder.
-  void take_division(const std::vector<model_share>& known);
+  void restore_allocation(const std::vector<model_share>& known);
   /// Takes the next second of demand into the division of the hosts.
-  void divide(const service_state& s, absl::Time now, group_actions& out);
+  void update_allocation(const service_state& s, absl::Time now,
+                         group_actions& out);
   /// Groups of a model that have been missing for longer than a repair takes.
-  int lasting_lack(const service_state& s, const model_profile& model,
-                   absl::Time now);
+  int persistent_deficit(const service_state& s, const model_profile& model,
+                         absl::Time now);
   /// Groups of a model beyond those that are wanted.
-  int beyond_wanted(const service_state& s, const model_profile& model) const;
+  int surplus_groups(const service_state& s, const model_profile& model) const;
   /// Whether these groups may give way beside those that do already.
-  bool may_end_now(const service_state& s,
-                   const std::vector<const group_view*>& ended) const;
+  bool may_dissolve_now(const service_state& s,
+                        const std::vector<const group_view*>& ended) const;
   /// What each domain has for a group of `model`.
-  std::map<std::string, domain_pool> pools_for(
+  std::map<std::string, domain_pool> domain_pools_for(
       const service_state& s, const model_profile& model) const;
   /// Hosts of a domain's pool for one group, at the least cost; nothing if they
   /// do not suffice.
@@ -396,17 +399,17 @@
                                      const count_by_model& left,
                                      absl::Time now) const;
   /// Whether a host is loading a model's weights, or holds them.
-  bool has_or_loads(const service_state& s, const std::string& id,
-                    const model_profile& model, absl::Time now) const;
+  bool has_or_is_loading(const service_state& s, const std::string& id,
+                         const model_profile& model, absl::Time now) const;
   /// Has hosts of models with groups beyond those wanted load the weights of
   /// models that lack some, and then ends their groups.
-  void give_way(service_state& s, absl::Time now, group_actions& out);
-  void give_way_to(service_state& s, const model_profile& model, int lack,
-                   absl::Time now, group_actions& out);
+  void reassign_hosts(service_state& s, absl::Time now, group_actions& out);
+  void reassign_hosts_to(service_state& s, const model_profile& model, int lack,
+                         absl::Time now, group_actions& out);
   /// Takes the next step of the plans for one domain.
-  void carry_out_moves(service_state& s, const model_profile& model,
-                       const std::vector<move_plan>& plans, absl::Time now,
-                       group_actions& out);
+  void execute_moves(service_state& s, const model_profile& model,
+                     const std::vector<move_plan>& plans, absl::Time now,
+                     group_actions& out);
 
   // Hosts that take weights into their engines: group-warming.cc.
 
@@ -420,7 +423,7 @@
                  const std::vector<std::string>& domain_hosts, absl::Time now,
                  group_actions& out);
   /// Has free hosts take the weights that they hold into their engines.
-  void warm_spares(const service_state& s, bool loads_count, absl::Time now,
+  void warm_spares(const service_state& s, bool requests_seen, absl::Time now,
                    group_actions& out);
   /// Has a host that is warm leave its group.
   void end_warmup(const service_state& s, const group_view& group,
@@ -431,13 +434,13 @@
   /// Counts what holders before this one may have loaded.
   void count_earlier_loads(const engine_profile& engine, absl::Time now);
   /// Loads from the weight store that may begin now.
-  int loads_left(const engine_profile& engine, absl::Time now);
+  int remaining_loads(const engine_profile& engine, absl::Time now);
   /// Stages the hosts of `f` that lack the weights.
-  void stage_for(const service_state& s, const formation& f, absl::Time now,
-                 group_actions& out);
+  void stage_for(const service_state& s, const group_candidate& f,
+                 absl::Time now, group_actions& out);
   /// Tells one server to stage a model. False if it may not now.
   bool stage(const service_state& s, const std::string& id,
-             const model_profile& model, bool loads_count, absl::Time now,
+             const model_profile& model, bool requests_seen, absl::Time now,
              group_actions& out);
   /// Counts a host that serves as a spare, and that may be loading a model.
   static void count_serving_spare(const server_entry& entry, bool loading,
@@ -452,10 +455,11 @@
       const service_state& s, absl::Time now,
       std::vector<std::string>& bare) const;
   /// Counts the groups that will form once a domain has hosts enough.
-  void expect_groups(const service_state& s, domain_weights& weights) const;
+  void count_expected_groups(const service_state& s,
+                             domain_weights& weights) const;
   /// How much a model needs one more spare in a domain that had `fewer` of
   /// them, in members whose loss it would make good.
-  static double model_need(const model_profile& model, domain_weights& weights,
+  static double spare_need(const model_profile& model, domain_weights& weights,
                            int fewer);
   /// Has one spare of a domain load another model's weights, if that model
   /// needs it far more.
@@ -471,7 +475,7 @@
   void stage_members(const service_state& s, domain_weights& weights,
                      absl::Time now, group_actions& out);
   /// Has free hosts load the weights that repairs will most likely need.
-  void stage_spares(const service_state& s, bool loads_count, absl::Time now,
+  void stage_spares(const service_state& s, bool requests_seen, absl::Time now,
                     group_actions& out);
 
   group_controller_options options;
@@ -488,7 +492,7 @@
   /// Groups that one host joins to take weights into its engine.
   std::map<std::string, warmup> warmups;
   /// Groups whose head surely serves no more.
-  std::set<std::string> released;
+  std::set<std::string> stopped_groups;
   /// Groups on their way out, and since when.
   std::map<std::string, absl::Time> dissolving;
   /// Groups of earlier holders that are not whole, and since when.
@@ -501,23 +505,23 @@
   std::optional<demand_view> demand;
   absl::Time demand_at = absl::InfinitePast();
   /// The division of each service's hosts.
-  std::map<std::string, service_division> divisions;
+  std::map<std::string, service_allocation> allocations;
   /// Groups that give way to another model.
-  std::set<std::string> giving;
+  std::set<std::string> reassigned_groups;
   /// Since when a model has lacked groups, by service and model.
-  std::map<std::pair<std::string, std::string>, absl::Time> lacking;
+  std::map<std::pair<std::string, std::string>, absl::Time> lacking_since;
   /// Open questions for servers' reports, and orders without a result.
-  question_window questions;
-  question_window open_orders;
-  absl::Duration own_delay = absl::ZeroDuration();
+  congestion_window pending_probes;
+  congestion_window pending_orders;
+  absl::Duration loop_delay = absl::ZeroDuration();
   /// Data halls whose servers get no requests.
   std::set<std::string> closed_halls;
   /// Servers at the last count and since when there are so many, by service.
-  struct settling {
+  struct server_count_record {
     size_t servers = 0;
     absl::Time since = absl::InfinitePast();
   };
-  std::map<std::string, settling> settlings;
+  std::map<std::string, server_count_record> server_counts;
   /// When the models were last summarized, by service.
   std::map<std::string, absl::Time> summarized;
 };
--- a/include/spokesail/hall-evacuations.h
+++ b/include/spokesail/hall-evacuations.h
@@ -25,28 +25,28 @@
 class hall_evacuations {
  public:
   /// Takes a word whose age counts back from `as_of`, learned at `now`.
-  evacuation_change take(const evacuation_word& word, absl::Time as_of,
-                         absl::Time now);
+  evacuation_change apply(const evacuation_snapshot& snapshot, absl::Time as_of,
+                          absl::Time now);
 
   /// Whether any word has been taken.
   bool known() const { return this->learned; }
   /// The latest time as of which the halls are known.
-  absl::Time proof() const { return this->proved; }
-  absl::Duration age(absl::Time now) const { return now - this->proved; }
+  absl::Time verified_at() const { return this->last_verified; }
+  absl::Duration age(absl::Time now) const { return now - this->last_verified; }
   /// What is known, for others; its age is that at `now`.
-  evacuation_word word(absl::Time now) const;
+  evacuation_snapshot snapshot(absl::Time now) const;
 
   /// Whether a hall may get no requests, where all changes of servers up to
-  /// `servers_proof` are known.
-  bool closed(const std::string& hall, absl::Time servers_proof) const;
+  /// `servers_verified_at` are known.
+  bool closed(const std::string& hall, absl::Time servers_verified_at) const;
   /// All halls that may get none.
-  std::set<std::string> closed_halls(absl::Time servers_proof) const;
+  std::set<std::string> closed_halls(absl::Time servers_verified_at) const;
 
  private:
   bool learned = false;
   int64_t revision = 0;
   std::set<std::string> halls;
-  absl::Time proved = absl::InfinitePast();
+  absl::Time last_verified = absl::InfinitePast();
   /// Halls that were evacuated, by when this node learned of the end.
   std::map<std::string, absl::Time> ended_at;
 };
--- a/include/spokesail/lease-turn.h
+++ b/include/spokesail/lease-takeover.h
@@ -16,13 +16,13 @@
 
 /// How long a candidate waits once a lease has run out. A node that is no
 /// candidate waits longer, by `chance` from 0 to 1.
-absl::Duration takeover_wait(std::optional<int> rank, double chance);
+absl::Duration takeover_delay(std::optional<int> rank, double chance);
 
 /// How long after its start a node that has heard of no holder reads the lease
 /// from the store. The candidates do so in turn, so that the first of them
 /// takes it and tells the others before they ask; of 295 nodes that start at
 /// once half read it when each did so by chance within two seconds, and a node
 /// on an eighth of a core could be the first.
-absl::Duration first_read_wait(std::optional<int> rank, double chance);
+absl::Duration first_read_delay(std::optional<int> rank, double chance);
 
 }  // namespace spokesail
--- a/include/spokesail/lease.h
+++ b/include/spokesail/lease.h
@@ -25,11 +25,11 @@
 /// How long leases last. Times are of a clock that runs through suspends.
 struct lease_timing {
   absl::Duration duration = absl::Seconds(6);
-  absl::Duration renew_every = absl::Seconds(2);
+  absl::Duration renew_period = absl::Seconds(2);
   /// The holder stops this long before its lease lapses.
   absl::Duration margin = absl::Seconds(1);
   /// A candidate waits up to this long more, at random.
-  absl::Duration takeover_spread = absl::Seconds(1);
+  absl::Duration takeover_jitter = absl::Seconds(1);
 };
 
 /// One candidate's side of a lease.
@@ -82,7 +82,7 @@
   absl::Time valid_until_time() const { return this->valid_until; }
 
  private:
-  void take_version(const object& seen, absl::Time now, double random_unit);
+  void adopt_version(const object& seen, absl::Time now, double random_unit);
 
   std::string key_name;
   std::string self;
@@ -96,7 +96,7 @@
   absl::Time renew_at = absl::InfinitePast();
   std::optional<document_write> write;
   absl::Time write_sent = absl::InfinitePast();
-  bool call_out = false;
+  bool call_pending = false;
 };
 
 }  // namespace spokesail
--- a/include/spokesail/limit-spread.h
+++ b/include/spokesail/limit-spread.h
@@ -21,7 +21,7 @@
   /// number of peers.
   static constexpr int base_rounds = 4;
   /// Maximum number of reports in a message.
-  static constexpr size_t most_reports = 60;
+  static constexpr size_t max_reports = 60;
 
   /// Reports to send to one peer.
   struct message {
--- a/include/spokesail/load-table.h
+++ b/include/spokesail/load-table.h
@@ -11,12 +11,12 @@
 namespace spokesail {
 
 /// What one node has in flight at one place (a group or a server).
-struct place_load {
-  std::string place;
+struct endpoint_load {
+  std::string endpoint;
   int running = 0;
   /// Prompt tokens sent there whose first event has not come.
-  double unread_tokens = 0;
-  bool operator==(const place_load&) const = default;
+  double pending_prefill_tokens = 0;
+  bool operator==(const endpoint_load&) const = default;
 };
 
 /// Sums own and peers' requests. A peer's word counts for a bounded time. The
@@ -26,43 +26,43 @@
  public:
   /// A peer that says nothing for this long is taken to have nothing in
   /// flight; several gossip periods, so that a lost datagram does not matter.
-  static constexpr absl::Duration peer_time = absl::Milliseconds(1500);
+  static constexpr absl::Duration peer_timeout = absl::Milliseconds(1500);
 
   /// Takes a request as sent to a place, its prompt unread.
-  void begin(const std::string& place, double prompt_tokens);
+  void begin(const std::string& endpoint, double prompt_tokens);
   /// Takes prompt tokens as read.
-  void read(const std::string& place, double prompt_tokens);
+  void read(const std::string& endpoint, double prompt_tokens);
   /// Takes a request as ended.
-  void end(const std::string& place);
+  void end(const std::string& endpoint);
 
   /// Replaces what a peer has in flight. `far` tells that it is in another
   /// data hall, or speaks for one.
-  void take_peer(const std::string& peer, std::vector<place_load> loads,
-                 absl::Time now, bool far = false);
+  void update_peer(const std::string& peer, std::vector<endpoint_load> loads,
+                   absl::Time now, bool far = false);
 
   /// Forgets a peer's word.
-  void drop_peer(const std::string& peer);
+  void remove_peer(const std::string& peer);
 
   /// All requests at a place, as far as this node knows.
-  place_load total(const std::string& place, absl::Time now);
+  endpoint_load total(const std::string& endpoint, absl::Time now);
 
   /// Requests of this node that have begun.
   uint64_t begun() const { return this->begun_count; }
   /// This node's own, for its peers.
-  std::vector<place_load> own() const;
+  std::vector<endpoint_load> own() const;
   /// Requests of this node at one place.
-  int own_running(const std::string& place) const;
+  int own_running(const std::string& endpoint) const;
   /// What this data hall, or all others, have in flight by place.
-  std::vector<place_load> hall_sum(bool far, absl::Time now);
+  std::vector<endpoint_load> hall_sum(bool far, absl::Time now);
 
  private:
   /// A peer's requests, and when it told of them.
   struct peer_load {
-    std::vector<place_load> places;
+    std::vector<endpoint_load> places;
     absl::Time at;
     bool far = false;
   };
-  using sums = absl::flat_hash_map<std::string, place_load>;
+  using sums = absl::flat_hash_map<std::string, endpoint_load>;
 
   /// Adds a peer's requests to the sums, or takes them out again.
   void count(const peer_load& peer, int sign);
@@ -72,8 +72,8 @@
   uint64_t begun_count = 0;
   sums mine;
   /// Peers' requests, of this data hall and of the others.
-  sums near_sums;
-  sums far_sums;
+  sums local_sums;
+  sums remote_sums;
   absl::flat_hash_map<std::string, peer_load> peers;
   /// No word becomes too old before.
   absl::Time oldest = absl::InfiniteFuture();
--- a/include/spokesail/membership.h
+++ b/include/spokesail/membership.h
@@ -25,25 +25,25 @@
 };
 
 /// A prober's word on one host, as it goes to peers.
-struct host_word {
+struct host_observation {
   std::string host;
   bool reachable = false;
   /// When the probe was sent, or since when the host is unreachable, on the
   /// sender's clock.
   absl::Time at;
   host_report report;
-  bool operator==(const host_word&) const = default;
+  bool operator==(const host_observation&) const = default;
 };
 
 /// A host's load, as it goes to peers.
-struct load_word {
+struct load_observation {
   std::string host;
   host_load load;
-  bool operator==(const load_word&) const = default;
+  bool operator==(const load_observation&) const = default;
 };
 
 /// What one entry host tells another, at every period and on each change.
-struct beat {
+struct heartbeat {
   /// The name alone, once the receiver knows the rest.
   member_info from;
   /// Differs from one start of the process to the next.
@@ -57,33 +57,33 @@
   bool ready = false;
   bool stopping = false;
   /// Changes with each change of what the sender's probes found.
-  int64_t words_epoch = 0;
+  int64_t observations_epoch = 0;
   /// The sender's probes found all this at this time or later, on its clock.
   absl::Time probed_at;
   /// Whether `words` gives everything the sender's probes found.
-  bool has_words = false;
-  std::vector<host_word> words;
+  bool has_observations = false;
+  std::vector<host_observation> observations;
   /// Every load that is not zero.
-  std::vector<load_word> loads;
+  std::vector<load_observation> loads;
   /// Models with an open group in the sender's hall.
   std::vector<std::string> open_models;
-  bool operator==(const beat&) const = default;
+  bool operator==(const heartbeat&) const = default;
 };
 
 /// The answer to a beat.
-struct beat_ack {
+struct heartbeat_ack {
   /// The name alone within a hall, where beats tell the rest.
   member_info from;
   uint64_t boot = 0;
   /// When the beat was taken, on the answering host's clock.
   absl::Time taken;
   /// The epoch of the words that the answering host now knows.
-  int64_t words_epoch = 0;
+  int64_t observations_epoch = 0;
   int64_t revision = 0;
   bool ready = false;
   bool stopping = false;
   std::vector<std::string> open_models;
-  bool operator==(const beat_ack&) const = default;
+  bool operator==(const heartbeat_ack&) const = default;
 };
 
 /// Turns times on a peer's clock into times on this node's.
@@ -113,14 +113,14 @@
   int64_t sequence = 0;
   clock_offset clock;
   /// When the last word was sent, on the local clock.
-  absl::Time heard_at = absl::InfinitePast();
+  absl::Time last_message_at = absl::InfinitePast();
   int64_t revision = 0;
   uint64_t view_digest = 0;
   bool ready = false;
   bool stopping = false;
   std::vector<std::string> open_models;
   /// Epoch of the member's words that this node has.
-  int64_t words_epoch = -1;
+  int64_t observations_epoch = -1;
   /// Epoch of this node's words that the member has.
   int64_t acked_epoch = -1;
   /// Since when its view has differed from this node's.
@@ -138,10 +138,10 @@
   void add_address(const std::string& hall, const std::string& peer_address);
 
   /// Takes a beat. False if it is older than one already taken.
-  bool on_beat(const beat& b);
+  bool on_heartbeat(const heartbeat& b);
 
   /// Takes the answer to a beat that was sent at `sent`.
-  void on_ack(const beat_ack& ack, absl::Time sent);
+  void on_ack(const heartbeat_ack& ack, absl::Time sent);
 
   /// Names of the hall's members that are alive at `now`, this node's too.
   std::vector<std::string> alive_in_hall(absl::Time now) const;
@@ -150,7 +150,7 @@
   std::vector<const member*> alive_elsewhere(absl::Time now) const;
 
   /// Where beats go: every peer of the hall, and one node of each other hall.
-  std::vector<std::string> beat_addresses(absl::Time now) const;
+  std::vector<std::string> heartbeat_addresses(absl::Time now) const;
 
   bool alive(const member& m, absl::Time now) const;
   member* find(const std::string& name);
@@ -160,8 +160,8 @@
 
  private:
   /// Whether a message says, or this node knows, how to reach its sender.
-  bool knows(const member_info& from, uint64_t boot) const;
-  member& touch(const member_info& info, uint64_t boot);
+  bool sender_known(const member_info& from, uint64_t boot) const;
+  member& update_member(const member_info& info, uint64_t boot);
 
   member_info self;
   absl::Duration window = absl::Seconds(3);
--- a/include/spokesail/model-shares.h
+++ b/include/spokesail/model-shares.h
@@ -20,12 +20,12 @@
 using need_by_model = std::map<std::string, double>;
 
 /// The hosts that groups can be formed of.
-struct host_room {
+struct host_capacity {
   /// Usable hosts of each fabric domain, those kept for repairs left out.
   std::vector<int> domains;
   /// Data halls that they stand in.
   int halls = 1;
-  bool operator==(const host_room&) const = default;
+  bool operator==(const host_capacity&) const = default;
 };
 
 /// The groups that a model's requests keep busy, each with a full batch.
@@ -38,63 +38,65 @@
 
 /// Whether so many groups of each model fit into the domains.
 bool groups_fit(const engine_profile& engine, const count_by_model& counts,
-                const host_room& room);
+                const host_capacity& room);
 
 /// The slowdown of all work under a division, weighted by the hosts it needs.
-double division_cost(const engine_profile& engine, const count_by_model& counts,
-                     const need_by_model& need);
+double allocation_cost(const engine_profile& engine,
+                       const count_by_model& counts, const need_by_model& need);
 
 /// The division that costs least, each model's floor kept.
-count_by_model divide_hosts(const engine_profile& engine, const host_room& room,
-                            const need_by_model& need);
+count_by_model allocate_hosts(const engine_profile& engine,
+                              const host_capacity& room,
+                              const need_by_model& need);
 
 /// What a change of the division has to bring.
-struct share_rules {
+struct reallocation_rules {
   /// Least gain of a change over the time that was seen, as a part of the cost.
   /// Callers hardly notice less.
-  double least_gain = 0.1;
+  double min_gain = 0.1;
   /// Least gain in each single second, as a part of the least gain: a burst has
   /// seconds before it in which its change would have been a loss, while demand
   /// that swings has seconds with room for all.
-  double each_second = 0.5;
+  double min_sample_gain_ratio = 0.5;
   /// How long a change must have been of use beyond the longest load that it
   /// costs: the seconds that one word of demand covers, and its way.
-  absl::Duration beyond_load = absl::Seconds(4);
+  absl::Duration evidence_margin = absl::Seconds(4);
   /// Whether a change has to wait for a load's time.
   bool wait_for_loads = true;
-  bool operator==(const share_rules&) const = default;
+  bool operator==(const reallocation_rules&) const = default;
 };
 
 /// A change of the division, with what decided it.
-struct share_change {
+struct allocation_change {
   count_by_model from;
   count_by_model to;
   need_by_model need;
   /// What it would have gained over the time that was seen, and in the second
   /// with the least gain, as parts of the cost.
   double gain = 0;
-  double least_gain = 0;
+  double min_gain = 0;
   absl::Duration seen = absl::ZeroDuration();
-  bool operator==(const share_change&) const = default;
+  bool operator==(const allocation_change&) const = default;
 };
 
 /// The shares of one service's models in its hosts.
 class model_shares {
  public:
-  explicit model_shares(const share_rules& rules = {}) : rules(rules) {}
+  explicit model_shares(const reallocation_rules& rules = {}) : rules(rules) {}
 
   /// Takes what callers ask for in one more second. `wanted` are the groups
   /// that the shares in force make up. Returns the change if there is one.
-  std::optional<share_change> take(const engine_profile& engine,
-                                   const host_room& room,
-                                   const count_by_model& wanted,
-                                   const need_by_model& need, absl::Time now);
+  std::optional<allocation_change> add_sample(const engine_profile& engine,
+                                              const host_capacity& room,
+                                              const count_by_model& wanted,
+                                              const need_by_model& need,
+                                              absl::Time now);
 
   /// Forgets what was seen, but not the shares: demand is not known as a whole.
-  void forget_seen() { this->seen.clear(); }
+  void clear_samples() { this->seen.clear(); }
 
   /// Takes a share that an earlier holder of the duty had in force.
-  void take_share(const std::string& model, double share) {
+  void restore_share(const std::string& model, double share) {
     this->shares[model] = share;
   }
 
@@ -103,37 +105,37 @@
 
   /// Goes back to what operators state, if that has changed since it was last
   /// seen.
-  void take_statement(const engine_profile& engine);
+  void sync_configured_shares(const engine_profile& engine);
 
   /// A model's share of the hosts: as stated until there was a change.
   double share(const model_profile& model) const;
 
  private:
-  struct window {
+  struct sample {
     absl::Time at;
     need_by_model need;
   };
   /// The last second that was seen by `from`, or else the first of all.
-  size_t first_since(absl::Time from) const;
+  size_t first_sample_since(absl::Time from) const;
   /// The mean need of the seconds from the `first` one on.
-  need_by_model mean_from(size_t first) const;
+  need_by_model mean_need_from(size_t first) const;
   /// Fills in what a change gains in the seconds from the `first` one on.
-  void weigh(const engine_profile& engine, size_t first,
-             share_change& change) const;
+  void evaluate(const engine_profile& engine, size_t first,
+                allocation_change& change) const;
   /// The change that is of use, if its loads take no longer than `load`.
-  std::optional<share_change> change_after(const engine_profile& engine,
-                                           const host_room& room,
-                                           const count_by_model& wanted,
-                                           absl::Duration load,
-                                           absl::Time now) const;
-  void put_in_force(const engine_profile& engine, const host_room& room,
-                    const count_by_model& counts);
-
-  share_rules rules;
-  std::deque<window> seen;
+  std::optional<allocation_change> find_change(const engine_profile& engine,
+                                               const host_capacity& room,
+                                               const count_by_model& wanted,
+                                               absl::Duration load,
+                                               absl::Time now) const;
+  void apply_allocation(const engine_profile& engine, const host_capacity& room,
+                        const count_by_model& counts);
+
+  reallocation_rules rules;
+  std::deque<sample> seen;
   std::map<std::string, double> shares;
   /// The stated shares, as last seen.
-  std::map<std::string, double> stated;
+  std::map<std::string, double> configured;
 };
 
 }  // namespace spokesail
--- a/include/spokesail/prediction-error.h
+++ b/include/spokesail/prediction-error.h
@@ -13,13 +13,13 @@
 class prediction_error {
  public:
   /// First events that are remembered, and for how long.
-  static constexpr size_t most_samples = 31;
+  static constexpr size_t max_samples = 31;
   static constexpr absl::Duration memory = absl::Seconds(10);
   /// Below so many it is not known.
-  static constexpr size_t least_samples = 5;
+  static constexpr size_t min_samples = 5;
 
   /// Takes note of a first event, its times in ms.
-  void note(double predicted_ms, double taken_ms, absl::Time now);
+  void add_sample(double predicted_ms, double taken_ms, absl::Time now);
 
   /// What a first event takes beyond its prediction, in ms; 0 if too few have
   /// been seen of late.
--- a/include/spokesail/presence.h
+++ b/include/spokesail/presence.h
@@ -69,14 +69,14 @@
                  const std::map<std::string, host_load>& loads);
 
   /// `prober`'s own word on `host`.
-  std::optional<observation> word(const std::string& prober,
-                                  const std::string& host) const;
+  std::optional<observation> observation_of(const std::string& prober,
+                                            const std::string& host) const;
 
   /// `prober` no longer probes `host`.
-  void withdraw(const std::string& prober, const std::string& host);
+  void remove_observation(const std::string& prober, const std::string& host);
 
   /// Lets go of all that `prober` said.
-  void forget_prober(const std::string& prober);
+  void remove_prober(const std::string& prober);
 
   /// Notes that this node itself failed to reach the host at `at`.
   void note_failure(const std::string& host, absl::Time at);
@@ -89,7 +89,7 @@
   std::optional<observation> latest(const std::string& host) const;
 
   /// Lets go of hosts that are not in `hosts`.
-  void keep_only(const std::vector<std::string>& hosts);
+  void retain_hosts(const std::vector<std::string>& hosts);
 
  private:
   struct host_entry {
--- a/include/spokesail/reducer.h
+++ b/include/spokesail/reducer.h
@@ -26,7 +26,7 @@
   member_info self;
   uint64_t boot = 0;
   uint64_t seed = 1;
-  absl::Duration beat_period = absl::Milliseconds(1000);
+  absl::Duration heartbeat_period = absl::Milliseconds(1000);
   absl::Duration probe_period = absl::Milliseconds(500);
   absl::Duration probe_deadline = absl::Milliseconds(500);
   /// A host counts as present for this long after a probe reached it.
@@ -72,18 +72,18 @@
   std::map<std::string, absl::Time> lost_since;
 
   std::map<std::string, probe_slot> probes;
-  int64_t words_epoch = 1;
-  int64_t beat_sequence = 0;
-  absl::Time next_beat = absl::InfinitePast();
-  bool beat_now = false;
+  int64_t observations_epoch = 1;
+  int64_t heartbeat_sequence = 0;
+  absl::Time next_heartbeat = absl::InfinitePast();
+  bool heartbeat_due = false;
   bool watching = false;
-  bool bundle_asked = false;
-  absl::Time bundle_asked_at = absl::InfinitePast();
-  bool poll_out = false;
-  absl::Time heard_platform = absl::InfinitePast();
+  bool bundle_requested = false;
+  absl::Time bundle_requested_at = absl::InfinitePast();
+  bool poll_pending = false;
+  absl::Time last_platform_contact = absl::InfinitePast();
   absl::Time started = absl::InfinitePast();
   uint64_t write_count = 0;
-  std::map<std::string, bool> open_before;
+  std::map<std::string, bool> was_open;
   std::map<std::string, absl::Time> closed_since;
   bool stopping = false;
   absl::Time stop_at = absl::InfiniteFuture();
--- a/include/spokesail/relay-choice.h
+++ b/include/spokesail/relay-choice.h
@@ -24,9 +24,9 @@
   /// case; empty if none is known.
   std::string holder;
   /// Whether the holder is in the node's own data hall.
-  bool holder_near = false;
+  bool holder_in_hall = false;
   /// Nodes that did not answer, or did not know better, a short time ago.
-  std::set<std::string> passed_over;
+  std::set<std::string> excluded;
   bool operator==(const relay_view&) const = default;
 };
 
@@ -36,14 +36,14 @@
   std::string upstream;
   /// Whether the node is one of the hall's first. Such nodes look for a store
   /// that is away without delay, and the others slowly.
-  bool candidate = false;
+  bool top_ranked = false;
   bool operator==(const relay_choice&) const = default;
 };
 
 /// So many nodes of a hall stand ready to be its first: enough that one stays
 /// when the store turns away a third of the nodes, few enough that an outage
 /// is not probed by all.
-inline constexpr size_t most_relays = 3;
+inline constexpr size_t top_ranked_per_hall = 3;
 
 /// So many nodes ask a relay with this part of a core: 24 where it has half of
 /// one, 6 on an eighth. A node that has just started is told of all servers,
--- a/include/spokesail/request-admission.h
+++ b/include/spokesail/request-admission.h
@@ -66,15 +66,15 @@
   /// Nodes that send to them.
   int nodes = 1;
   /// Age of what is known of their load.
-  absl::Duration news_age;
+  absl::Duration load_age;
 };
 
 /// What becomes of a request.
-enum class admission_verdict { send, wait, refuse };
+enum class admission_action { send, wait, refuse };
 
 /// A verdict, and what it was given by.
-struct admission_answer {
-  admission_verdict verdict = admission_verdict::wait;
+struct admission_decision {
+  admission_action action = admission_action::wait;
   /// Where to, if it is sent.
   size_t option = 0;
   /// Whether it is sent though its answer will be late.
@@ -87,7 +87,7 @@
   /// The learned error of the prediction, in ms.
   double error_ms = 0;
   /// Requests that can be in time, over all options.
-  double room = 0;
+  double timely_slots = 0;
 };
 
 /// Orders the requests of one node that compete for groups' places.
@@ -96,21 +96,21 @@
   explicit request_admission(admission_limits limits = {}) : limits(limits) {}
 
   /// Lets a request compete. False if too much waits already.
-  bool enter(const admission_request& request, absl::Time now);
+  bool enqueue(const admission_request& request, absl::Time now);
 
   /// Takes a request out; to be called however it ended.
-  void leave(const admission_request& request);
+  void dequeue(const admission_request& request);
 
   /// What becomes of a request that competes. One that is to wait asks again
   /// a moment later.
-  admission_answer decide(const admission_request& request,
-                          const admission_view& view, absl::Time now,
-                          random_stream& random);
+  admission_decision decide(const admission_request& request,
+                            const admission_view& view, absl::Time now,
+                            random_stream& random);
 
   /// The refusal of a request that could not enter.
-  admission_answer turn_away(const admission_request& request,
-                             const admission_view& view, absl::Time now,
-                             random_stream& random);
+  admission_decision refuse_unqueued(const admission_request& request,
+                                     const admission_view& view, absl::Time now,
+                                     random_stream& random);
 
   /// Takes note of a first event, its times in ms.
   void note_first_event(const std::string& pool, double predicted_ms,
@@ -138,46 +138,47 @@
     event_rate sent;
     /// Times that a request took its chance at places that are short, and until
     /// when the next one waits after a miss.
-    event_rate draws;
+    event_rate draw_rate;
     absl::Time next_draw = absl::InfinitePast();
     /// Usual time that answers have, in ms; 0 before the first request.
-    double usual_goal = 0;
+    double mean_goal_ms = 0;
     /// When the caller that was refused last is to come back.
-    absl::Time next_return = absl::InfinitePast();
+    absl::Time next_retry_at = absl::InfinitePast();
   };
-  struct outlook;
+  struct forecast;
 
-  static outlook look(const admission_request& request,
-                      const admission_view& view, const pool_state& pool,
-                      absl::Time now);
+  static forecast make_forecast(const admission_request& request,
+                                const admission_view& view,
+                                const pool_state& pool, absl::Time now);
   /// Has a request sent whose turn it is, or not yet.
-  static admission_answer send_in_time(const outlook& seen,
-                                       const admission_view& view,
-                                       const request_size& size,
-                                       pool_state& pool, absl::Time now,
-                                       random_stream& random);
+  static admission_decision send_in_time(const forecast& seen,
+                                         const admission_view& view,
+                                         const request_size& size,
+                                         pool_state& pool, absl::Time now,
+                                         random_stream& random);
   /// Whether this node takes its part of places that are short.
-  static bool draw(const outlook& seen, const admission_view& view,
-                   pool_state& pool, absl::Time now, random_stream& random);
+  static bool claim_share(const forecast& seen, const admission_view& view,
+                          pool_state& pool, absl::Time now,
+                          random_stream& random);
   /// What becomes of one that can be in time nowhere.
-  static admission_answer serve_late(const admission_request& request,
-                                     const admission_view& view,
-                                     const pool_state& pool,
-                                     const outlook& seen, absl::Time now);
+  static admission_decision decide_late(const admission_request& request,
+                                        const admission_view& view,
+                                        const pool_state& pool,
+                                        const forecast& seen, absl::Time now);
   /// Says when the caller should come back.
   static void refuse(const admission_request& request,
                      const admission_view& view, pool_state& pool,
                      const char* reason, absl::Time now, random_stream& random,
-                     admission_answer& answer);
-  void note_return(const admission_request& request, absl::Time now);
-  void remember_return(const admission_request& request, absl::Time at,
-                       absl::Time now);
+                     admission_decision& answer);
+  void check_early_retry(const admission_request& request, absl::Time now);
+  void store_retry_time(const admission_request& request, absl::Time at,
+                        absl::Time now);
 
   admission_limits limits;
   std::map<std::string, pool_state> pools;
   uint64_t bytes = 0;
   /// When callers that were refused were told to come back.
-  std::map<std::string, absl::Time> returns;
+  std::map<std::string, absl::Time> retry_times;
 };
 
 }  // namespace spokesail
--- a/include/spokesail/requests.h
+++ b/include/spokesail/requests.h
@@ -38,7 +38,7 @@
   /// Expected cost against others in the queue.
   double cost = 1;
   /// Whether another data hall's entry host has sent it here.
-  bool hopped = false;
+  bool forwarded = false;
   bool operator==(const request_info&) const = default;
 };
 
@@ -103,7 +103,7 @@
 };
 
 /// A place for requests at this moment, as the reducer sees it.
-struct open_place {
+struct open_target {
   attempt_target target;
   int capacity = 1;
   int share = 1;
@@ -111,22 +111,23 @@
 };
 
 /// What the request table needs to know of the world.
-class place_finder {
+class routing_view {
  public:
-  virtual ~place_finder() = default;
+  virtual ~routing_view() = default;
   /// Places of this data hall that take requests now.
-  virtual std::vector<open_place> open_places(
+  virtual std::vector<open_target> open_places(
       target_kind kind, const std::string& target) const = 0;
   /// Whether an attempt there can still end well: all members of the group
   /// are present, also when it drains and takes no new requests.
-  virtual bool holds(target_kind kind, const attempt_target& target) const = 0;
+  virtual bool can_complete(target_kind kind,
+                            const attempt_target& target) const = 0;
   /// Entry hosts of other data halls that have an open place.
   virtual std::vector<attempt_target> other_halls(
       target_kind kind, const std::string& target) const = 0;
   /// The accepted configuration; null before there is one.
   virtual const configuration* config() const = 0;
   /// A guess at when a place opens, for callers who are sent away.
-  virtual absl::Duration reopen_guess(const std::string& target) const = 0;
+  virtual absl::Duration estimated_reopen(const std::string& target) const = 0;
 };
 
 /// All requests that this entry host has accepted and not yet ended.
@@ -136,11 +137,11 @@
   request_table(std::string node, uint64_t boot)
       : node(std::move(node)), boot(boot) {}
 
-  void arrive(const request_info& info, const place_finder& world,
+  void arrive(const request_info& info, const routing_view& world,
               random_stream& random, absl::Time now, request_actions& out);
 
   void attempt_ended(uint64_t request, const std::string& attempt,
-                     attempt_end end, const place_finder& world,
+                     attempt_end end, const routing_view& world,
                      random_stream& random, absl::Time now,
                      request_actions& out);
 
@@ -148,7 +149,7 @@
   void caller_gone(uint64_t request, request_actions& out);
 
   /// Deadlines, groups that closed under their attempts, queues that move.
-  void step(const place_finder& world, random_stream& random, absl::Time now,
+  void step(const routing_view& world, random_stream& random, absl::Time now,
             request_actions& out);
 
   /// From now on new requests are refused.
@@ -188,20 +189,20 @@
   };
 
   std::optional<outcome> reason_to_refuse(const request_info& info,
-                                          const place_finder& world,
+                                          const routing_view& world,
                                           absl::Time now);
   void finish(uint64_t id, outcome result, request_actions& out);
-  void leave_place(entry& e);
-  void pump(const pool_key& key, const place_finder& world,
+  void release_target(entry& e);
+  void pump(const pool_key& key, const routing_view& world,
             random_stream& random, absl::Time now, request_actions& out);
-  bool start_one(entry& e, const place_finder& world, random_stream& random,
+  bool start_one(entry& e, const routing_view& world, random_stream& random,
                  absl::Time now, request_actions& out);
-  void retry(entry& e, attempt_end end, const place_finder& world,
+  void retry(entry& e, attempt_end end, const routing_view& world,
              random_stream& random, absl::Time now, request_actions& out);
-  void give_up_closed(const place_finder& world, random_stream& random,
+  void abandon_closed(const routing_view& world, random_stream& random,
                       absl::Time now, request_actions& out);
   absl::Duration queue_wait(const pool& p, int places) const;
-  outcome refuse_closed(const entry& e, const place_finder& world) const;
+  outcome refuse_closed(const entry& e, const routing_view& world) const;
 
   std::string node;
   uint64_t boot = 0;
--- a/include/spokesail/routing-config.h
+++ b/include/spokesail/routing-config.h
@@ -36,19 +36,19 @@
   /// Tokens that one group's memory holds.
   int64_t kv_tokens = 0;
   /// Token steps that a pass with writers plays before it reads again.
-  int stride = 1;
+  int decode_steps_per_pass = 1;
   /// Time of one step, and what each request and each thousand tokens of
   /// context add to it.
   double step_ms = 1;
   double step_ms_per_request = 0;
   double step_ms_per_1k_context = 0;
   /// Prompt tokens that are read in a millisecond.
-  double read_tokens_per_ms = 1;
+  double prefill_tokens_per_ms = 1;
   /// Prompt tokens that one step reads at most.
-  int read_chunk = 1;
+  int prefill_chunk = 1;
   /// Mean tokens of prompts and answers, before any are seen.
-  double usual_prompt = 0;
-  double usual_answer = 0;
+  double mean_prompt_tokens = 0;
+  double mean_answer_tokens = 0;
   /// How old the state in a server's report may be.
   absl::Duration report_lag;
   /// Loads from the weight store that may start a second, and run at once
@@ -106,7 +106,7 @@
   /// An answer (of a stream: its first event) within this is in time.
   absl::Duration goal = absl::Seconds(1);
   /// Longest pause between two events of a stream that is in time.
-  absl::Duration pause_goal = absl::Seconds(1);
+  absl::Duration event_gap_goal = absl::Seconds(1);
   bool operator==(const route_rule&) const = default;
 };
 
--- a/include/spokesail/server-directory.h
+++ b/include/spokesail/server-directory.h
@@ -21,7 +21,7 @@
   int64_t revision = 0;
   /// Until when it counts as living although the store has lost its entry;
   /// infinite past while the entry stands.
-  absl::Time lapses_at = absl::InfinitePast();
+  absl::Time expires_at = absl::InfinitePast();
   /// Until when it is slow after its start, as of the latest news of it.
   absl::Time cold_until = absl::InfinitePast();
   bool operator==(const listed_server&) const = default;
@@ -40,13 +40,13 @@
   member_phase head_phase = member_phase::none;
   /// Whether each rank up to the model's size is claimed by a live server
   /// that says it is ready, and none is leaving.
-  bool whole = false;
+  bool all_ready = false;
   bool operator==(const group_view&) const = default;
 
   const std::string& head() const { return this->members.front(); }
   /// Whether it may take requests.
   bool serving() const {
-    return this->whole && this->head_phase == member_phase::open;
+    return this->all_ready && this->head_phase == member_phase::open;
   }
 };
 
@@ -85,11 +85,11 @@
   /// Null if there is no such server.
   const server_entry* find(const std::string& id) const;
   /// All changes up to this revision are known.
-  int64_t revision() const { return this->known_until; }
+  int64_t revision() const { return this->known_revision; }
   /// No server is cold from this time on, by what is known.
-  absl::Time all_warm_at() const { return this->last_cold; }
+  absl::Time all_warm_at() const { return this->latest_cold_until; }
   /// Takes note that all changes up to `revision` have been taken.
-  void caught_up(int64_t revision);
+  void advance_revision(int64_t revision);
 
   /// Servers that changed after a revision, and those that are lapsing, since
   /// no revision tells of those. Costs what it finds, not what there is: a
@@ -98,24 +98,24 @@
 
   /// Servers that have gone after a revision, with the revision by which they
   /// had.
-  std::vector<std::pair<std::string, int64_t>> gone_since(
+  std::vector<std::pair<std::string, int64_t>> removed_since(
       int64_t revision) const;
 
  private:
   std::map<std::string, listed_server> by_id;
   /// Revisions at which servers went, against news that comes late.
-  std::map<std::string, int64_t> gone_at;
+  std::map<std::string, int64_t> removal_revisions;
   /// Servers, and those that went, by revision.
   using revisions = std::set<std::pair<int64_t, std::string>>;
   revisions changes;
-  revisions ends;
-  std::set<std::string> lapsing;
+  revisions removals;
+  std::set<std::string> expiring;
 
   /// Enters or drops a server's end, and its entry.
-  void mark_gone(const std::string& id, int64_t revision);
+  void mark_removed(const std::string& id, int64_t revision);
   void erase(const std::string& id);
-  int64_t known_until = 0;
-  absl::Time last_cold = absl::InfinitePast();
+  int64_t known_revision = 0;
+  absl::Time latest_cold_until = absl::InfinitePast();
 };
 
 /// A service's groups from what `servers` say, by group name and epoch.
--- a/include/spokesail/server-entry.h
+++ b/include/spokesail/server-entry.h
@@ -46,7 +46,7 @@
   /// server does not say.
   int64_t incarnation = 0;
   /// How much longer it was slow after its start when it wrote this.
-  absl::Duration cold_left = absl::ZeroDuration();
+  absl::Duration cold_remaining = absl::ZeroDuration();
   bool operator==(const server_entry&) const = default;
 };
 
@@ -55,7 +55,7 @@
   /// Of the start that answers, as in its entry; 0 if it does not say.
   int64_t incarnation = 0;
   /// Orders that it has begun since its start.
-  int64_t orders_taken = 0;
+  int64_t orders_started = 0;
   bool order_running = false;
   int waiting = 0;
   int running = 0;
@@ -87,7 +87,7 @@
   /// Fencing number of the sender's lease.
   int64_t fence = 0;
   /// Whether a close breaks off what still runs.
-  bool cut_running = false;
+  bool abort_running = false;
   bool operator==(const group_order&) const = default;
 };
 
--- a/include/spokesail/news-age.h
+++ b/include/spokesail/staleness.h
@@ -19,36 +19,36 @@
 };
 
 /// What the platform asks of nodes, from their settings.
-struct news_bounds {
+struct staleness_bounds {
   /// A configuration has to be in force everywhere within this.
-  absl::Duration config_time = absl::Seconds(2);
+  absl::Duration config_deadline = absl::Seconds(2);
   /// A key that was taken away must not be honoured this long after.
-  absl::Duration revoke_time = absl::Seconds(5);
+  absl::Duration revoke_deadline = absl::Seconds(5);
   /// A server that is leaving gets no new requests this long after it said so.
-  absl::Duration drain_time = absl::Seconds(2);
+  absl::Duration drain_deadline = absl::Seconds(2);
   /// No server of a data hall gets requests this long after operators have
   /// evacuated it. Nothing if evacuations are not followed.
-  std::optional<absl::Duration> evacuate_time = std::nullopt;
-  bool operator==(const news_bounds&) const = default;
+  std::optional<absl::Duration> evacuate_deadline = std::nullopt;
+  bool operator==(const staleness_bounds&) const = default;
 };
 
 /// Whether a relay that says this of itself is passed over.
-bool relay_outdated(const news_age& said, const news_bounds& bounds);
+bool relay_stale(const news_age& said, const staleness_bounds& bounds);
 
 /// What else decides whether a node reads the store itself.
-struct news_position {
+struct relay_status {
   /// Whether its relay has told fresh news since it was chosen.
-  bool relay_proved = false;
+  bool relay_confirmed = false;
   /// Whether it is one of the first of its hall, from whom others hear.
-  bool relied_on = false;
-  bool operator==(const news_position&) const = default;
+  bool may_have_followers = false;
+  bool operator==(const relay_status&) const = default;
 };
 
 /// Whether a node that knows this has to read the store itself.
-bool must_watch(const news_age& known, const news_bounds& bounds,
-                const news_position& position);
+bool must_watch_store(const news_age& known, const staleness_bounds& bounds,
+                      const relay_status& position);
 
 /// Whether a node may be late to learn that a server is leaving.
-bool servers_late(const news_age& known, const news_bounds& bounds);
+bool servers_stale(const news_age& known, const staleness_bounds& bounds);
 
 }  // namespace spokesail
--- a/soak/callers.cc
+++ b/soak/callers.cc
@@ -86,7 +86,7 @@
   net::steady_timer timer(this->loop);
   timer.expires_after(absl::ToChronoNanoseconds(patience + last_wait));
   timer.async_wait([this](boost::system::error_code error) {
-    if (!error) detail::close_quietly(this->socket);
+    if (!error) detail::close_ignoring_errors(this->socket);
   });
   http::response_parser<http::string_body> parser;
   auto [error, size] =
@@ -147,7 +147,7 @@
 net::awaitable<void> caller::send_one() {
   const bool connected = this->socket.is_open() || co_await this->connect();
   if (!connected) {
-    detail::close_quietly(this->socket);
+    detail::close_ignoring_errors(this->socket);
     co_await sleep_for(reconnect_rest);
     co_return;
   }
@@ -165,7 +165,7 @@
   } else if (what.kind == request_kind::stream && in.result_int() == 200) {
     this->check_events(id, in.body(), false);
   }
-  if (!whole || !in.keep_alive()) detail::close_quietly(this->socket);
+  if (!whole || !in.keep_alive()) detail::close_ignoring_errors(this->socket);
 }
 
 net::awaitable<void> caller::run() {
--- a/soak/faulty-relay.cc
+++ b/soak/faulty-relay.cc
@@ -41,7 +41,7 @@
   for (const auto& socket : this->open) {
     boost::system::error_code ignored;
     socket->set_option(net::socket_base::linger(true, 0), ignored);
-    detail::close_quietly(*socket);
+    detail::close_ignoring_errors(*socket);
   }
 }
 
@@ -87,7 +87,7 @@
   // A half-closed connection ends both ways here: neither side uses it.
   boost::system::error_code ignored;
   to->shutdown(tcp::socket::shutdown_both, ignored);
-  detail::close_quietly(*from);
+  detail::close_ignoring_errors(*from);
   this->open.erase(from);
 }
 
--- a/soak/soak-checks.cc
+++ b/soak/soak-checks.cc
@@ -10,7 +10,7 @@
 
 /// How long after a key was taken away a node may still accept it; the nodes'
 /// settings say the same.
-constexpr absl::Duration revoke_time = absl::Seconds(3);
+constexpr absl::Duration revoke_deadline = absl::Seconds(3);
 
 /// Faults may have effects this long before they are counted and after they
 /// have ended: a repair, or the lease's time.
@@ -80,7 +80,8 @@
     for (const auto& [id, r] : c->requests()) {
       if (r.key != "key-2" || runs.count(id) == 0) continue;
       for (const auto& gone : this->key_gone) {
-        const bool late = r.sent > gone.from + revoke_time && r.ended < gone.to;
+        const bool late =
+            r.sent > gone.from + revoke_deadline && r.ended < gone.to;
         if (!late) continue;
         this->result.breaches.push_back(
             absl::StrCat(id, ": ran at node-", r.node, " ",
--- a/soak/soak.cc
+++ b/soak/soak.cc
@@ -27,7 +27,7 @@
 constexpr absl::Duration ask_limit = absl::Milliseconds(1500);
 constexpr absl::Duration look_again = absl::Milliseconds(50);
 /// Requests that run when the callers stop end within this time.
-constexpr absl::Duration last_requests = absl::Seconds(8);
+constexpr absl::Duration stop_accept_time = absl::Seconds(8);
 
 /// Id of the requests by which the soak itself asks whether a node serves.
 constexpr char probe_id[] = "probe";
@@ -152,7 +152,7 @@
 
 net::awaitable<void> soak_run::stop_callers() {
   for (auto& c : this->callers) c->stop();
-  const absl::Time until = boot_now() + last_requests;
+  const absl::Time until = boot_now() + stop_accept_time;
   const auto done = [](const auto& c) { return c->done(); };
   while (boot_now() < until &&
          !std::all_of(this->callers.begin(), this->callers.end(), done)) {
--- a/src/admission.cc
+++ b/src/admission.cc
@@ -15,7 +15,7 @@
   auto& line = this->lines[request.workspace];
   const size_t share = limit / (this->lines.size() + 1);
   if (this->count >= limit / 2 && line.waiting.size() > share) return false;
-  if (holds_too_much(line, request.caller, share)) return false;
+  if (exceeds_caller_share(line, request.caller, share)) return false;
   if (line.waiting.empty()) {
     line.start_tag = std::max(line.start_tag, this->virtual_time);
   }
@@ -37,8 +37,8 @@
   join(line, request.caller);
 }
 
-bool fair_queue::holds_too_much(const line& line, const std::string& caller,
-                                size_t share) {
+bool fair_queue::exceeds_caller_share(const line& line,
+                                      const std::string& caller, size_t share) {
   if (caller.empty() || line.waiting.size() < share / 2) return false;
   std::map<std::string, size_t> held;
   for (const auto& waiting : line.waiting) held[waiting.caller]++;
@@ -48,10 +48,10 @@
 void fair_queue::join(line& line, const std::string& caller) {
   double& tag = line.callers[caller];
   tag = std::max(tag, line.caller_time);
-  if (line.callers.size() > most_callers) forget_callers(line);
+  if (line.callers.size() > most_callers) prune_callers(line);
 }
 
-void fair_queue::forget_callers(line& line) {
+void fair_queue::prune_callers(line& line) {
   const auto waits = [&](const std::string& caller) {
     return std::any_of(
         line.waiting.begin(), line.waiting.end(),
@@ -74,7 +74,7 @@
   tag = std::max(tag, line.caller_time) + cost;
 }
 
-size_t fair_queue::first_of(const line& line, const std::string* kind) {
+size_t fair_queue::first_in_line(const line& line, const std::string* kind) {
   if (kind == nullptr && line.callers.size() <= 1) return 0;
   std::optional<size_t> best;
   double least = 0;
@@ -91,14 +91,15 @@
   return best.value_or(0);
 }
 
-std::optional<fair_queue::position> fair_queue::turn_by_share() const {
+std::optional<fair_queue::position> fair_queue::next_by_share() const {
   auto best = this->lines.end();
   int urgency = 0;
   for (auto it = this->lines.begin(); it != this->lines.end(); ++it) {
     const line& line = it->second;
     if (line.waiting.empty()) continue;
-    const int own =
-        this->order.urgent_first ? line.waiting.front().priority : 0;
+    const int own = this->order.priority_across_workspaces
+                        ? line.waiting.front().priority
+                        : 0;
     const bool first =
         best == this->lines.end() || own > urgency ||
         (own == urgency && line.start_tag < best->second.start_tag);
@@ -107,10 +108,11 @@
     urgency = own;
   }
   if (best == this->lines.end()) return std::nullopt;
-  return position{best->first, first_of(best->second, nullptr)};
+  return position{best->first, first_in_line(best->second, nullptr)};
 }
 
-std::optional<fair_queue::position> fair_queue::turn_by_floor() const {
+std::optional<fair_queue::position> fair_queue::next_by_starvation_guard()
+    const {
   std::optional<position> best;
   uint64_t longest = 0;
   for (const auto& [workspace, line] : this->lines) {
@@ -120,16 +122,16 @@
           this->turns - (last == this->last_turn.end() ? 0 : last->second) + 1;
       if (since <= longest) continue;
       longest = since;
-      best = position{workspace, first_of(line, &request.kind)};
+      best = position{workspace, first_in_line(line, &request.kind)};
     }
   }
   return best;
 }
 
 std::optional<fair_queue::position> fair_queue::turn() const {
-  const int every = this->order.floor_every;
+  const int every = this->order.starvation_guard_interval;
   const bool floor = every > 0 && this->turns % every == every - 1U;
-  return floor ? this->turn_by_floor() : this->turn_by_share();
+  return floor ? this->next_by_starvation_guard() : this->next_by_share();
 }
 
 const queued_request* fair_queue::front() const {
@@ -163,7 +165,7 @@
   line.caller_time = std::max(line.caller_time, tag);
   tag += cost;
   this->turns++;
-  if (this->order.floor_every > 0) {
+  if (this->order.starvation_guard_interval > 0) {
     this->last_turn[{request.kind, request.workspace}] = this->turns;
   }
   return request;
@@ -192,7 +194,7 @@
   return expired;
 }
 
-bool token_bucket::take(double amount, absl::Time now) {
+bool token_bucket::try_consume(double amount, absl::Time now) {
   if (this->last != absl::InfinitePast() && now > this->last) {
     this->add(this->rate * absl::ToDoubleSeconds(now - this->last));
   }
--- a/src/apply.cc
+++ b/src/apply.cc
@@ -70,7 +70,7 @@
   // The same bundle may be there already: its name is its content.
   const auto bundle_write = settle_write(
       store, make_write(bundle, bundle_spec.dump(), digest), patience);
-  if (!settled(bundle_write)) {
+  if (!is_finished(bundle_write)) {
     return leaf::new_error(apply_error{apply_error::reason::platform_away, {}});
   }
   config_head head;
--- a/src/byte-budget.cc
+++ b/src/byte-budget.cc
@@ -17,15 +17,15 @@
 bool byte_budget::may_grow(uint64_t answer) const {
   const bool oldest =
       !this->answers.empty() && *this->answers.begin() == answer;
-  return this->limit == 0 || this->held_bytes < this->limit || oldest;
+  return this->limit == 0 || this->byte_charge < this->limit || oldest;
 }
 
-bool byte_budget::takes_requests() const {
+bool byte_budget::accepts_requests() const {
   const auto most = request_share * static_cast<double>(this->limit);
-  return this->limit == 0 || static_cast<double>(this->held_bytes) < most;
+  return this->limit == 0 || static_cast<double>(this->byte_charge) < most;
 }
 
-void held_bytes::set(size_t bytes) {
+void byte_charge::set(size_t bytes) {
   this->budget.add(bytes);
   this->budget.remove(this->counted);
   this->counted = bytes;
--- a/src/call.cc
+++ b/src/call.cc
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-void call::resume_from(const partial_answer& had) {
+void call::resume_from(const partial_response& had) {
   absl::MutexLock lock(&this->mutex);
   this->partial = had;
 }
@@ -43,8 +43,8 @@
   return true;
 }
 
-bool call::plain_data(const std::string& attempt, const char* data,
-                      size_t size) {
+bool call::append_plain(const std::string& attempt, const char* data,
+                        size_t size) {
   absl::MutexLock lock(&this->mutex);
   if (attempt != this->current || this->end) return false;
   if (this->plain.size() + size > largest_plain) return false;
@@ -52,7 +52,7 @@
   return true;
 }
 
-bool call::model_event(const std::string& attempt, const std::string& data) {
+bool call::append_event(const std::string& attempt, const std::string& data) {
   absl::MutexLock lock(&this->mutex);
   const auto ready = [this]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(this->mutex) {
     return this->outgoing.size() < outgoing_limit || this->end.has_value();
@@ -99,7 +99,7 @@
   this->current.clear();
 }
 
-partial_answer call::so_far() const {
+partial_response call::received_so_far() const {
   absl::MutexLock lock(&this->mutex);
   return this->partial;
 }
@@ -108,7 +108,7 @@
   return !this->outgoing.empty() || this->end.has_value();
 }
 
-std::optional<outcome> call::wait_first() {
+std::optional<outcome> call::wait_for_output() {
   absl::MutexLock lock(&this->mutex);
   this->mutex.Await(absl::Condition(this, &call::pending));
   return this->outgoing.empty() ? this->end : std::nullopt;
--- a/src/call.h
+++ b/src/call.h
@@ -16,7 +16,7 @@
 namespace spokesail {
 
 /// The text of a model's answer that has come so far.
-struct partial_answer {
+struct partial_response {
   std::string text;
   int64_t tokens = 0;
 };
@@ -36,12 +36,12 @@
   std::string body;
   bool model_call = false;
   bool streamed = false;
-  bool hopped = false;
+  bool forwarded = false;
   std::string model;
   absl::Time arrived;
 
   /// The caller has this much of the answer already, from elsewhere.
-  void resume_from(const partial_answer& had);
+  void resume_from(const partial_response& had);
 
   /// Makes `attempt` the current one.
   void begin(const std::string& attempt);
@@ -50,10 +50,10 @@
   bool head(const std::string& attempt, const exchange_head& head);
 
   /// More of a plain answer. False if not current or too large.
-  bool plain_data(const std::string& attempt, const char* data, size_t size);
+  bool append_plain(const std::string& attempt, const char* data, size_t size);
 
   /// One event of a model's stream. False if not current or out of order.
-  bool model_event(const std::string& attempt, const std::string& data);
+  bool append_event(const std::string& attempt, const std::string& data);
 
   /// Whether the model's answer came to its end mark or is no stream at all.
   bool complete(const std::string& attempt) const;
@@ -62,11 +62,11 @@
   void finish(const outcome& result);
 
   /// What has come of the model's answer.
-  partial_answer so_far() const;
+  partial_response received_so_far() const;
 
   /// Waits until there is something to send first: bytes of a stream, or the
   /// end. Gives the end, if it came.
-  std::optional<outcome> wait_first();
+  std::optional<outcome> wait_for_output();
 
   /// Takes bytes for the caller; waits for them up to `limit`. Empty if none
   /// came. `ended` tells whether the request has ended.
@@ -91,7 +91,7 @@
   bool end_mark ABSL_GUARDED_BY(mutex) = false;
   std::string plain ABSL_GUARDED_BY(mutex);
   std::string outgoing ABSL_GUARDED_BY(mutex);
-  partial_answer partial ABSL_GUARDED_BY(mutex);
+  partial_response partial ABSL_GUARDED_BY(mutex);
   std::string stop_reason ABSL_GUARDED_BY(mutex);
   std::optional<outcome> end ABSL_GUARDED_BY(mutex);
   bool any ABSL_GUARDED_BY(mutex) = false;
--- a/src/caller-session.cc
+++ b/src/caller-session.cc
@@ -10,7 +10,7 @@
 
 #include "detail/socket.h"
 #include "exchange.h"
-#include "request-run.h"
+#include "request-handler.h"
 
 namespace spokesail {
 namespace {
@@ -69,13 +69,13 @@
   if (now >= this->unread_limit) this->give_up_caller();
   if (this->phase == session_phase::serving) return;
   const bool leave = this->phase == session_phase::idle && this->node.closing();
-  if (now >= this->limit || leave) detail::close_quietly(this->socket);
+  if (now >= this->limit || leave) detail::close_ignoring_errors(this->socket);
 }
 
 void caller_session::break_off() {
   boost::system::error_code ignored;
   this->socket.set_option(net::socket_base::linger(true, 0), ignored);
-  detail::close_quietly(this->socket);
+  detail::close_ignoring_errors(this->socket);
 }
 
 void caller_session::watch_caller() {
@@ -102,7 +102,7 @@
 void caller_session::give_up_caller() {
   this->unread_limit = absl::InfiniteFuture();
   this->gone = true;
-  this->node.log.write(log_weight::request, "caller_given_up",
+  this->node.log.write(log_category::request, "caller_given_up",
                        {{"why", "does not read"},
                         {"held_bytes", std::to_string(this->node.held.held())}},
                        this->node.now());
@@ -166,7 +166,7 @@
   response.keep_alive(false);
   response.body() = reason;
   this->node.metrics.count_request("refused", reason);
-  this->node.log.write(log_weight::request, "request_unreadable",
+  this->node.log.write(log_category::request, "request_unreadable",
                        {{"status", std::to_string(status)}, {"why", reason}},
                        this->node.now());
   if (co_await this->write(response)) co_await this->close_after_answer();
@@ -195,9 +195,9 @@
 }
 
 net::awaitable<bool> caller_session::read_body(request_parser& parser,
-                                               held_bytes& held) {
+                                               byte_charge& held) {
   if (parser.is_done()) co_return true;
-  if (!this->node.held.takes_requests()) {
+  if (!this->node.held.accepts_requests()) {
     co_await this->refuse(503, "node holds too much");
     co_return false;
   }
@@ -240,14 +240,14 @@
   const bool head_read = co_await this->read_head(parser);
   if (!head_read) co_return false;
   this->limit = arrived + body_time_factor * limits.head_timeout;
-  held_bytes held(this->node.held);
+  byte_charge held(this->node.held);
   const bool body_read = co_await this->read_body(parser, held);
   if (!body_read) co_return false;
   const bool keep_alive = parser.keep_alive();
   held.set(parser.get().body().size());
   this->phase = session_phase::serving;
   if (this->buffer.size() == 0) this->watch_caller();
-  request_run run(this->node, *this, parser.release(), arrived, keep_alive);
+  request_handler run(this->node, *this, parser.release(), arrived, keep_alive);
   const bool kept = co_await run.run();
   boost::system::error_code ignored;
   this->socket.cancel(ignored);
@@ -262,7 +262,7 @@
       this->socket.is_open()) {
     co_await this->close_after_answer();
   }
-  detail::close_quietly(this->socket);
+  detail::close_ignoring_errors(this->socket);
 }
 
 }  // namespace spokesail
--- a/src/caller-session.h
+++ b/src/caller-session.h
@@ -61,7 +61,7 @@
   boost::asio::awaitable<bool> read_head(request_parser& parser);
   /// Reads a body, or answers why not. False if it is not whole.
   boost::asio::awaitable<bool> read_body(request_parser& parser,
-                                         held_bytes& held);
+                                         byte_charge& held);
   /// Answers that the request was not accepted, and ends the connection.
   boost::asio::awaitable<void> refuse(unsigned status, const char* reason);
   /// Lets the caller read what was sent before the connection is closed.
--- a/src/change-relay.cc
+++ b/src/change-relay.cc
@@ -7,85 +7,85 @@
 namespace {
 
 /// Who asked this long ago is not told any more.
-constexpr absl::Duration follower_time = absl::Seconds(2);
+constexpr absl::Duration follower_timeout = absl::Seconds(2);
 
 /// A message that its follower does not know after this long is lost: 0.1 MB
 /// takes a link of 20 Mbit/s 40 ms, and there are several peers. For followers
 /// of earlier versions, which do not say what they were told of.
-constexpr absl::Duration resend_time = absl::Milliseconds(500);
+constexpr absl::Duration resend_timeout = absl::Milliseconds(500);
 
 /// A follower that misses changes asks out of turn at most this often. What
 /// fills a link so that messages are lost often lasts for longer.
-constexpr absl::Duration ask_again_time = absl::Milliseconds(20);
+constexpr absl::Duration min_request_gap = absl::Milliseconds(20);
 
 }  // namespace
 
-bool change_sender::lost(const message& sent, const change_question& question,
-                         absl::Time now) {
-  if (sent.from > question.known) return true;
+bool change_sender::is_lost(const message& sent,
+                            const follower_position& position, absl::Time now) {
+  if (sent.from > position.known) return true;
   // The follower has had a message that went out after this one. In halls that
   // lose 5 in 100 messages, 1 in 1,000 changes was missed for 1.4 to 1.7 s and
   // longer without this, and for 0.11 to 0.35 s with it, by the rate of changes
   // (test halls_keep_up_on_links_that_lose_messages).
-  if (sent.to <= question.told_after) return true;
-  return now - sent.at >= resend_time;
+  if (sent.to <= position.unapplied_after) return true;
+  return now - sent.at >= resend_timeout;
 }
 
-int64_t change_sender::on_question(const std::string& follower,
-                                   const change_question& question,
-                                   absl::Time now) {
+int64_t change_sender::on_request(const std::string& follower,
+                                  const follower_position& position,
+                                  absl::Time now) {
   follower_state& f = this->followers[follower];
-  f.asked = now;
+  f.last_request = now;
   auto& waiting = f.unconfirmed;
-  while (!waiting.empty() && waiting.front().to <= question.known) {
+  while (!waiting.empty() && waiting.front().to <= position.known) {
     waiting.pop_front();
   }
   // The time of each message counts by itself. Counted from the last one, it
   // would never run out while changes go on, and whoever has lost one message
   // would learn of nothing more.
   const bool on_its_way =
-      !waiting.empty() && !lost(waiting.front(), question, now);
-  if (on_its_way) return f.told.servers;
+      !waiting.empty() && !is_lost(waiting.front(), position, now);
+  if (on_its_way) return f.sent_up_to.servers;
   waiting.clear();
-  return question.known;
+  return position.known;
 }
 
-void change_sender::on_told(const std::string& follower, int64_t from,
+void change_sender::on_sent(const std::string& follower, int64_t from,
                             int64_t to, int64_t config, absl::Time now) {
   follower_state& f = this->followers[follower];
   // Who knows more than this relay stays ahead of it.
-  f.told = {std::max(from, to), config};
+  f.sent_up_to = {std::max(from, to), config};
   if (to > from) f.unconfirmed.push_back({from, to, now});
 }
 
-std::vector<change_sender::telling> change_sender::due(const state& now_known,
-                                                       absl::Time now) {
+std::vector<change_sender::pending_update> change_sender::pending_updates(
+    const known_revisions& now_known, absl::Time now) {
   std::erase_if(this->followers, [&](const auto& item) {
-    return now - item.second.asked > follower_time;
+    return now - item.second.last_request > follower_timeout;
   });
-  std::vector<telling> out;
+  std::vector<pending_update> out;
   for (const auto& [name, f] : this->followers) {
-    const bool behind =
-        f.told.servers < now_known.servers || f.told.config < now_known.config;
-    if (behind) out.push_back({name, f.told.servers});
+    const bool behind = f.sent_up_to.servers < now_known.servers ||
+                        f.sent_up_to.config < now_known.config;
+    if (behind) out.push_back({name, f.sent_up_to.servers});
   }
   return out;
 }
 
 bool change_receiver::on_message(int64_t from, int64_t known) {
   if (from <= known) return true;
-  this->told_after = std::max(this->told_after, from);
+  this->unapplied_after = std::max(this->unapplied_after, from);
   return false;
 }
 
-change_question change_receiver::question(int64_t known) const {
-  return {known, this->told_after > known ? this->told_after : 0};
+follower_position change_receiver::position(int64_t known) const {
+  return {known, this->unapplied_after > known ? this->unapplied_after : 0};
 }
 
-bool change_receiver::ask_at_once(int64_t known, absl::Time now) {
-  if (this->told_after <= known) return false;
-  if (now - this->asked < ask_again_time) return false;
-  this->asked = now;
+bool change_receiver::request_out_of_turn(int64_t known, absl::Time now) {
+  if (this->unapplied_after <= known) return false;
+  if (now - this->last_request < min_request_gap) return false;
+  this->last_request = now;
   return true;
 }
 
--- a/src/config-feed.cc
+++ b/src/config-feed.cc
@@ -22,7 +22,7 @@
 
 /// A node that is told of changes reads the configuration at most this often:
 /// changes come in bursts, and each read is priced.
-constexpr absl::Duration read_gap = absl::Milliseconds(350);
+constexpr absl::Duration min_read_interval = absl::Milliseconds(350);
 
 }  // namespace
 
@@ -31,59 +31,62 @@
       node(state) {}
 
 absl::Duration config_feed::wait(bool first) {
-  this->waited = first ? first_watch_wait : watch_wait;
-  return this->waited;
+  this->current_watch_wait = first ? first_watch_wait : watch_wait;
+  return this->current_watch_wait;
 }
 
 bool config_feed::must_list() const {
-  return this->wanted > this->node.config_revision &&
-         this->node.now() - this->listed_at >= read_gap;
+  return this->requested_revision > this->node.config_revision &&
+         this->node.now() - this->listed_at >= min_read_interval;
 }
 
-bool config_feed::may_copy() const {
+bool config_feed::allows_stale_copy() const {
   // A relay's word proves the revision, wherever the content comes from.
-  return this->wanted > this->node.config_revision;
+  return this->requested_revision > this->node.config_revision;
 }
 
-bool config_feed::holds_wanted(const object_listing& listing) const {
-  return std::any_of(
-      listing.objects.begin(), listing.objects.end(),
-      [this](const object& o) { return o.version >= this->wanted; });
+bool config_feed::contains_requested(const object_listing& listing) const {
+  return std::any_of(listing.objects.begin(), listing.objects.end(),
+                     [this](const object& o) {
+                       return o.version >= this->requested_revision;
+                     });
 }
 
-void config_feed::take_listing(const object_listing& listing,
-                               absl::Time proof) {
+void config_feed::apply_listing(const object_listing& listing,
+                                absl::Time proof) {
   this->listed_at = this->node.now();
-  for (const auto& o : listing.objects) this->take_config(o);
-  this->take_proof(proof);
+  for (const auto& o : listing.objects) this->apply_config(o);
+  this->advance_verified_at(proof);
 }
 
-absl::Duration config_feed::take_changes(const object_changes& changes,
-                                         absl::Time sent) {
+absl::Duration config_feed::apply_changes(const object_changes& changes,
+                                          absl::Time sent) {
   // A watch that ran out saw nothing until its wait was over.
-  const absl::Time proof = changes.objects.empty()
-                               ? std::min(this->node.now(), sent + this->waited)
-                               : sent;
-  for (const auto& o : changes.objects) this->take_config(o);
-  this->take_proof(proof);
+  const absl::Time proof =
+      changes.objects.empty()
+          ? std::min(this->node.now(), sent + this->current_watch_wait)
+          : sent;
+  for (const auto& o : changes.objects) this->apply_config(o);
+  this->advance_verified_at(proof);
   return absl::ZeroDuration();
 }
 
-void config_feed::take_config(const object& o) {
+void config_feed::apply_config(const object& o) {
   if (o.key.name != this->node.adapter.kinds().config_name || o.deleted) return;
   if (o.version <= this->node.config_revision) return;
   auto config = this->node.adapter.read_config(o);
   if (!config) {
-    this->unreadable = o.version;
-    this->node.log.belief("config_unreadable",
-                          {{"rev", absl::StrCat(o.version)}}, this->node.now());
+    this->unreadable_revision = o.version;
+    this->node.log.state_change("config_unreadable",
+                                {{"rev", absl::StrCat(o.version)}},
+                                this->node.now());
     return;
   }
   this->node.config_revision = o.version;
   this->node.config_object = std::make_shared<const object>(o);
   this->node.routes = std::make_shared<const routing_table>(*config);
-  this->node.forget_groups();
-  this->node.log.belief(
+  this->node.invalidate_group_cache();
+  this->node.log.state_change(
       "config_in_force",
       {{"version", absl::StrCat(config->version)},
        {"rev", absl::StrCat(o.version)},
@@ -93,9 +96,10 @@
   this->on_change();
 }
 
-void config_feed::take_proof(absl::Time proof) {
-  if (this->unreadable > this->node.config_revision) return;
-  this->node.config_proof = std::max(this->node.config_proof, proof);
+void config_feed::advance_verified_at(absl::Time proof) {
+  if (this->unreadable_revision > this->node.config_revision) return;
+  this->node.config_verified_at =
+      std::max(this->node.config_verified_at, proof);
 }
 
 }  // namespace spokesail
--- a/src/config-reader.cc
+++ b/src/config-reader.cc
@@ -13,8 +13,8 @@
 
 namespace fs = std::filesystem;
 
-constexpr int most_hosts = 64;
-constexpr int most_replicas = 1000;
+constexpr int max_hosts = 64;
+constexpr int max_replicas = 1000;
 constexpr int64_t day_ms = 24LL * 3600 * 1000;
 
 model_config read_model(yaml_map& m) {
@@ -23,10 +23,10 @@
   out.version = m.text("version", out.version);
   out.adapters = m.texts("adapters", {});
   out.hosts_per_replica =
-      static_cast<int>(m.integer("hosts_per_replica", 1, 1, most_hosts));
-  out.replicas = m.integers("replicas", 0, most_replicas);
+      static_cast<int>(m.integer("hosts_per_replica", 1, 1, max_hosts));
+  out.replicas = m.integers("replicas", 0, max_replicas);
   out.minimum_serving =
-      static_cast<int>(m.integer("minimum_serving", 0, 0, most_replicas));
+      static_cast<int>(m.integer("minimum_serving", 0, 0, max_replicas));
   out.importance = static_cast<int>(m.integer("importance", 0, 0, 100));
   out.cross_domain = m.boolean("cross_domain", false);
   out.max_concurrent = static_cast<int>(
@@ -41,7 +41,7 @@
   return out;
 }
 
-service_config read_service(yaml_map& m) {
+service_config build_service_state(yaml_map& m) {
   service_config out;
   out.name = m.name("name");
   out.max_concurrent = static_cast<int>(
@@ -99,7 +99,7 @@
     add_named(out.models, read_model(m), m, "model");
   }
   for (auto& m : root.maps("services")) {
-    add_named(out.services, read_service(m), m, "service");
+    add_named(out.services, build_service_state(m), m, "service");
   }
   for (auto& m : root.maps("workspaces")) {
     add_named(out.workspaces, read_workspace(m), m, "workspace");
--- a/src/connection-pool.cc
+++ b/src/connection-pool.cc
@@ -15,16 +15,16 @@
     kept.pop_back();
     // Bytes that nobody asked for belong to no request: such a connection,
     // like a closed one, is not used again.
-    if (now < item.until && detail::open_and_silent(item.socket)) {
+    if (now < item.until && detail::is_open_and_idle(item.socket)) {
       return std::move(item.socket);
     }
   }
   return std::nullopt;
 }
 
-void connection_pool::keep(const std::string& server,
-                           boost::asio::ip::tcp::socket socket,
-                           absl::Time until) {
+void connection_pool::put(const std::string& server,
+                          boost::asio::ip::tcp::socket socket,
+                          absl::Time until) {
   this->by_server[server].push_back({std::move(socket), until});
 }
 
--- a/src/connection-pool.h
+++ b/src/connection-pool.h
@@ -24,8 +24,8 @@
                                                    absl::Time now);
 
   /// Keeps a connection until `until`.
-  void keep(const std::string& server, boost::asio::ip::tcp::socket socket,
-            absl::Time until);
+  void put(const std::string& server, boost::asio::ip::tcp::socket socket,
+           absl::Time until);
 
   /// Closes connections that are kept no longer.
   void expire(absl::Time now);
--- a/src/controller.cc
+++ b/src/controller.cc
@@ -77,11 +77,11 @@
 void controller::follow_lease(absl::Time now) {
   const bool leads = this->leads(now);
   const int64_t fence = leads ? this->own_lease.fence() : -1;
-  if (fence == this->led_fence) return;
-  this->led_fence = fence;
-  this->led_since = leads ? now : absl::InfiniteFuture();
-  this->taken_over = false;
-  this->fresh = false;
+  if (fence == this->term_fence) return;
+  this->term_fence = fence;
+  this->term_since = leads ? now : absl::InfiniteFuture();
+  this->placement_owned = false;
+  this->placement_read = false;
   this->write.reset();
   this->pending_changes.clear();
   this->draining_since.clear();
@@ -95,7 +95,7 @@
   if (!this->leads(now)) return actions;
   actions.placement_call =
       this->advance_placement(view, now, write_id + "-place", actions);
-  if (this->taken_over) actions.orders = this->due_orders(view, now);
+  if (this->placement_owned) actions.orders = this->due_orders(view, now);
   return actions;
 }
 
@@ -107,23 +107,23 @@
     this->placement_call_out = true;
     return next_call(*this->write);
   }
-  if (!this->fresh) {
+  if (!this->placement_read) {
     this->placement_call_out = true;
     return platform_call{
         call_kind::read, {kinds::placement, this->hall}, 0, {}};
   }
   std::swap(actions.changes, this->pending_changes);
   // A higher number in the document: this lease has been taken over.
-  if (this->current.fence > this->led_fence) return std::nullopt;
-  if (!this->taken_over) {
+  if (this->current.fence > this->term_fence) return std::nullopt;
+  if (!this->placement_owned) {
     placement own = this->current;
     own.hall = this->hall;
-    own.fence = this->led_fence;
+    own.fence = this->term_fence;
     return this->write_placement(own, write_id);
   }
   if (now < this->next_plan || !view.config) return std::nullopt;
-  this->next_plan = now + this->timing.plan_every;
-  this->note_draining(now);
+  this->next_plan = now + this->timing.plan_interval;
+  this->update_draining(now);
   auto planned = plan(this->make_plan_input(view, now));
   if (planned.next == this->current) return std::nullopt;
   if (!shared_hosts(planned.next).empty()) return std::nullopt;
@@ -146,7 +146,7 @@
     this->current = placement{};
     const json spec = json::parse(found.body, nullptr, false);
     if (spec.is_object()) this->current = spec.get<placement>();
-    this->fresh = true;
+    this->placement_read = true;
   };
   if (!this->write) {
     if (answer.status == call_status::ok) take(answer.found);
@@ -155,17 +155,17 @@
     }
     return std::nullopt;
   }
-  this->write = answered(*this->write, answer);
-  if (!settled(*this->write)) return std::nullopt;
+  this->write = apply_answer(*this->write, answer);
+  if (!is_finished(*this->write)) return std::nullopt;
   const bool applied = this->write->state == write_state::applied;
   object found = this->write->found;
   if (applied && !found.body.empty()) {
     take(found);
-    this->taken_over = this->current.fence == this->led_fence;
+    this->placement_owned = this->current.fence == this->term_fence;
   } else {
     // Someone else wrote: read again, and write nothing until then.
-    this->fresh = false;
-    this->taken_over = false;
+    this->placement_read = false;
+    this->placement_owned = false;
     this->pending_changes.clear();
   }
   this->write.reset();
@@ -173,7 +173,7 @@
   return found;
 }
 
-void controller::note_draining(absl::Time now) {
+void controller::update_draining(absl::Time now) {
   std::map<std::string, absl::Time> since;
   for (const auto& g : this->current.groups) {
     if (g.phase != group_phase::draining) continue;
@@ -196,7 +196,7 @@
   in.policy = this->policy.get();
   // An order of the last holder may still be on its way to a host that does
   // not check fencing numbers; nor is a host given away under our own order.
-  const absl::Time quiet = this->led_since + 2 * this->timing.order_deadline;
+  const absl::Time quiet = this->term_since + 2 * this->timing.order_deadline;
   for (auto& [name, host] : in.hosts) {
     if (!host.info.checks_fencing) host.reassign_after = quiet;
     const auto it = this->orders.find(name);
@@ -282,7 +282,7 @@
   this->add_preloads(view, now, budget, out);
   const absl::Time until = this->own_lease.valid_until_time();
   for (auto& o : out) {
-    o.fence = this->led_fence;
+    o.fence = this->term_fence;
     o.not_after = std::min(until, now + this->timing.order_deadline);
     this->orders[o.host] = {now, true, order_status::accepted, o.group,
                             o.incarnation};
@@ -356,8 +356,8 @@
   }
 }
 
-void controller::on_order(const std::string& host, order_status status,
-                          absl::Time now) {
+void controller::on_order_result(const std::string& host, order_status status,
+                                 absl::Time now) {
   const auto it = this->orders.find(host);
   if (it == this->orders.end()) return;
   it->second.out = false;
--- a/src/crash-check.cc
+++ b/src/crash-check.cc
@@ -17,27 +17,29 @@
 
 enum class server_state { lives, ended, unknown };
 
-server_state judge(node_context& node, const request_place& place,
+server_state judge(node_context& node, const endpoint_target& endpoint,
                    const http_response& answer) {
   if (answer.result() == another_server) return server_state::ended;
   const auto report = node.adapter.read_report(answer);
   const bool other_start = report && report->incarnation != 0 &&
-                           place.incarnation != 0 &&
-                           report->incarnation != place.incarnation;
+                           endpoint.incarnation != 0 &&
+                           report->incarnation != endpoint.incarnation;
   return other_start ? server_state::ended : server_state::lives;
 }
 
 net::awaitable<server_state> ask(node_context& node,
-                                 const request_place& place) {
-  const http_request request = node.adapter.write_report_request(place.server);
+                                 const endpoint_target& endpoint) {
+  const http_request request =
+      node.adapter.write_report_request(endpoint.server);
   fetch_result result =
-      co_await node.fetcher.fetch(place.address, request, answer_limit);
+      co_await node.fetcher.fetch(endpoint.address, request, answer_limit);
   // A kept connection may just have been closed by its server.
   if (result.status == fetch_status::no_answer) {
-    result = co_await node.fetcher.fetch(place.address, request, answer_limit);
+    result =
+        co_await node.fetcher.fetch(endpoint.address, request, answer_limit);
   }
   if (result.status == fetch_status::ok) {
-    co_return judge(node, place, result.response);
+    co_return judge(node, endpoint, result.response);
   }
   // The answer may have waited for this node's own loop.
   co_return node.loop_delay >= answer_limit ? server_state::unknown
@@ -47,19 +49,19 @@
 }  // namespace
 
 net::awaitable<void> check_crash(node_context& node, lost_run run) {
-  std::string ended = run.silent_member;
+  std::string ended = run.unresponsive_member;
   if (ended.empty()) {
-    const server_state state = co_await ask(node, run.place);
+    const server_state state = co_await ask(node, run.endpoint);
     if (state != server_state::ended) co_return;
-    ended = run.place.server;
+    ended = run.endpoint.server;
   }
   const absl::Time now = node.now();
-  const uint64_t start = server_start(ended, run.place.incarnation);
+  const uint64_t start = incarnation_hash(ended, run.endpoint.incarnation);
   node.crashes.add_crash(run.request, start, run.end, now);
-  node.log.write(log_weight::request, "server_ended_under_request",
+  node.log.write(log_category::request, "server_ended_under_request",
                  {{"identity", to_text(run.request)},
                   {"server", ended},
-                  {"group", run.place.group},
+                  {"group", run.endpoint.group},
                   {"last_event", absl::StrCat(run.end.point)},
                   {"begun", run.end.begun ? "1" : "0"},
                   {"repeated", run.end.repeated ? "1" : "0"},
--- a/src/crash-check.h
+++ b/src/crash-check.h
@@ -13,11 +13,11 @@
 /// A run whose server broke off, or whose group fell silent.
 struct lost_run {
   request_identity request;
-  request_place place;
+  endpoint_target endpoint;
   /// How the request stood when it was lost.
-  crash_end end;
+  server_crash end;
   /// A member of the group that was found not to answer; empty if none was.
-  std::string silent_member;
+  std::string unresponsive_member;
 };
 
 /// Asks the run's server whether it lives. If it does not, or has started anew,
--- a/src/crash-evidence.cc
+++ b/src/crash-evidence.cc
@@ -9,7 +9,7 @@
   std::erase_if(evidence.crashes, [&](const auto& crash) {
     return crash.second.point < evidence.passed;
   });
-  while (evidence.crashes.size() > crash_evidence::most_crashes) {
+  while (evidence.crashes.size() > crash_evidence::max_crashes) {
     evidence.crashes.erase(std::prev(evidence.crashes.end()));
   }
 }
@@ -18,7 +18,7 @@
   crash_evidence out = a;
   out.passed = std::max(a.passed, b.passed);
   for (const auto& [server, end] : b.crashes) {
-    crash_end& known = out.crashes.try_emplace(server, end).first->second;
+    server_crash& known = out.crashes.try_emplace(server, end).first->second;
     // As one value: of parts taken from two ends, one may since be refuted.
     known = std::max(known, end);
   }
--- a/src/crash-gossip.cc
+++ b/src/crash-gossip.cc
@@ -20,17 +20,17 @@
 }  // namespace
 
 void crash_gossip::tell(const std::vector<std::string>& peers, absl::Time now) {
-  for (auto& m :
-       this->spread.round(this->node.crashes, peers, this->node.random, now)) {
+  for (auto& m : this->spread.next_round(this->node.crashes, peers,
+                                         this->node.random, now)) {
     this->link.send(m.peer, crash_report{std::move(m.news),
                                          this->node.crashes.digest(), false});
   }
 }
 
 void crash_gossip::ask(const std::vector<std::string>& peers, absl::Time now) {
-  const absl::Duration period = this->answered ? ask_period : round_period;
-  if (peers.empty() || now - this->asked < period) return;
-  this->asked = now;
+  const absl::Duration period = this->has_synced ? ask_period : round_period;
+  if (peers.empty() || now - this->digest_sent_at < period) return;
+  this->digest_sent_at = now;
   const std::string& peer = peers[this->node.random.below(peers.size())];
   this->link.send(peer, crash_report{{}, this->node.crashes.digest(), true});
 }
@@ -38,10 +38,10 @@
 void crash_gossip::answer(const std::string& peer, absl::Time now) {
   crash_report out;
   out.digest = this->node.crashes.digest();
-  for (const auto& request : this->node.crashes.proved()) {
+  for (const auto& request : this->node.crashes.requests_over_threshold()) {
     const auto said = this->node.crashes.tell(request, now);
     if (said) out.evidence.push_back(*said);
-    if (out.evidence.size() < crash_spread::most_told) continue;
+    if (out.evidence.size() < crash_spread::max_updates) continue;
     this->link.send(peer, out);
     out.evidence.clear();
   }
@@ -50,7 +50,7 @@
 
 void crash_gossip::take(const std::string& peer, const crash_report& said) {
   const absl::Time now = this->node.now();
-  if (said.asks) {
+  if (said.wants_reply) {
     const bool same = said.digest == this->node.crashes.digest();
     if (same) {
       this->link.send(peer, crash_report{{}, said.digest, false});
@@ -59,18 +59,18 @@
     }
     return;
   }
-  this->answered = true;
+  this->has_synced = true;
   for (const auto& news : said.evidence) this->node.crashes.take(news, now);
 }
 
-void crash_gossip::log_changes(absl::Time now) {
-  const crash_ledger& ledger = this->node.crashes;
+void crash_gossip::log_quarantine_changes(absl::Time now) {
+  const crash_tracker& ledger = this->node.crashes;
   std::set<request_identity> next;
-  for (const auto& request : ledger.proved()) {
+  for (const auto& request : ledger.requests_over_threshold()) {
     if (ledger.quarantined(request)) next.insert(request);
   }
   const auto log = [&](const char* event, const request_identity& request) {
-    this->node.log.belief(
+    this->node.log.state_change(
         event,
         {{"identity", to_text(request)},
          {"servers", absl::StrCat(ledger.count(request))},
@@ -98,7 +98,7 @@
     this->node.crashes.expire(now);
     this->tell(peers, now);
     this->ask(peers, now);
-    this->log_changes(now);
+    this->log_quarantine_changes(now);
     co_await this->node.sleep(round_period);
   }
 }
--- a/src/crash-gossip.h
+++ b/src/crash-gossip.h
@@ -31,14 +31,14 @@
   /// Sends a peer all that is proved.
   void answer(const std::string& peer, absl::Time now);
   /// Writes down which requests have come into quarantine, or out of it.
-  void log_changes(absl::Time now);
+  void log_quarantine_changes(absl::Time now);
 
   node_context& node;
   peer_link& link;
   crash_spread spread;
-  absl::Time asked = absl::InfinitePast();
+  absl::Time digest_sent_at = absl::InfinitePast();
   /// Whether a peer has answered since this node started.
-  bool answered = false;
+  bool has_synced = false;
   std::set<request_identity> quarantined;
 };
 
--- a/src/crash-spread.cc
+++ b/src/crash-spread.cc
@@ -5,39 +5,42 @@
 
 namespace spokesail {
 
-void crash_spread::heat(crash_ledger& ledger, size_t nodes) {
+void crash_spread::queue_changes(crash_tracker& ledger, size_t nodes) {
   for (const auto& request : ledger.take_changes()) {
     const size_t count = ledger.count(request);
-    if (count > 1) this->wide.insert(request);
-    const bool to_all = this->wide.count(request) != 0;
+    if (count > 1) this->broadcast.insert(request);
+    const bool to_all = this->broadcast.count(request) != 0;
     if (!to_all && count == 0) continue;
-    this->hot[request] =
-        to_all ? least_rounds + static_cast<int>(std::bit_width(nodes))
+    this->rounds_left[request] =
+        to_all ? base_rounds + static_cast<int>(std::bit_width(nodes))
                : collector_rounds;
   }
-  std::erase_if(this->wide,
-                [&](const auto& request) { return !ledger.knows(request); });
+  std::erase_if(this->broadcast,
+                [&](const auto& request) { return !ledger.contains(request); });
 }
 
-std::vector<crash_spread::message> crash_spread::round(
-    crash_ledger& ledger, const std::vector<std::string>& peers,
+std::vector<crash_spread::message> crash_spread::next_round(
+    crash_tracker& ledger, const std::vector<std::string>& peers,
     random_stream& random, absl::Time now) {
-  this->heat(ledger, peers.size());
-  if (this->hot.empty() || peers.empty()) return {};
-  std::vector<message> out = this->tell_wide(ledger, peers, random, now);
-  for (auto& m : this->tell_collectors(ledger, peers, now)) {
+  this->queue_changes(ledger, peers.size());
+  if (this->rounds_left.empty() || peers.empty()) return {};
+  std::vector<message> out =
+      this->broadcast_messages(ledger, peers, random, now);
+  for (auto& m : this->collector_messages(ledger, peers, now)) {
     out.push_back(std::move(m));
   }
-  std::erase_if(this->hot, [](const auto& item) { return item.second <= 0; });
+  std::erase_if(this->rounds_left,
+                [](const auto& item) { return item.second <= 0; });
   return out;
 }
 
-std::vector<crash_spread::message> crash_spread::tell_wide(
-    const crash_ledger& ledger, const std::vector<std::string>& peers,
+std::vector<crash_spread::message> crash_spread::broadcast_messages(
+    const crash_tracker& ledger, const std::vector<std::string>& peers,
     random_stream& random, absl::Time now) {
-  std::vector<crash_news> news;
-  for (auto& [request, rounds] : this->hot) {
-    if (this->wide.count(request) == 0 || news.size() >= most_told) continue;
+  std::vector<crash_update> news;
+  for (auto& [request, rounds] : this->rounds_left) {
+    if (this->broadcast.count(request) == 0 || news.size() >= max_updates)
+      continue;
     --rounds;
     const auto said = ledger.tell(request, now);
     if (said) news.push_back(*said);
@@ -49,14 +52,14 @@
   return out;
 }
 
-std::vector<crash_spread::message> crash_spread::tell_collectors(
-    const crash_ledger& ledger, const std::vector<std::string>& peers,
+std::vector<crash_spread::message> crash_spread::collector_messages(
+    const crash_tracker& ledger, const std::vector<std::string>& peers,
     absl::Time now) {
   std::vector<std::string> nodes = peers;
   nodes.push_back(this->self);
-  std::map<std::string, std::vector<crash_news>> by_peer;
-  for (auto& [request, rounds] : this->hot) {
-    if (this->wide.count(request) != 0) continue;
+  std::map<std::string, std::vector<crash_update>> by_peer;
+  for (auto& [request, rounds] : this->rounds_left) {
+    if (this->broadcast.count(request) != 0) continue;
     --rounds;
     const auto said = ledger.tell(request, now);
     if (!said) continue;
@@ -66,7 +69,7 @@
   }
   std::vector<message> out;
   for (auto& [peer, news] : by_peer) {
-    if (news.size() > most_told) news.resize(most_told);
+    if (news.size() > max_updates) news.resize(max_updates);
     out.push_back({peer, std::move(news)});
   }
   return out;
--- a/src/daemon.cc
+++ b/src/daemon.cc
@@ -181,11 +181,11 @@
     });
   }
 
-  void carry_out(const beat_effect& e) {
-    this->link->send_beat(e.address, e.content);
+  void carry_out(const heartbeat_effect& e) {
+    this->link->send_heartbeat(e.address, e.content);
   }
-  void carry_out(const beat_ack_effect& e) {
-    this->link->reply_beat(e.token, e.content);
+  void carry_out(const heartbeat_ack_effect& e) {
+    this->link->reply_heartbeat(e.token, e.content);
   }
   void carry_out(const push_effect& e) {
     this->link->push(e.address, e.objects);
@@ -310,7 +310,7 @@
   std::vector<std::thread> watch_threads;
   detail::worker_pool platform_pool;
   detail::worker_pool probe_pool;
-  std::unique_ptr<peer_link> link;
+  std::unique_ptr<rpc_peer_link> link;
 };
 
 }  // namespace
--- a/src/demand-table.cc
+++ b/src/demand-table.cc
@@ -30,33 +30,34 @@
 
 }  // namespace
 
-void demand_table::take(const std::string& hall, const std::string& node,
-                        const std::vector<model_demand>& said, absl::Time now) {
+void demand_table::store(const std::string& hall, const std::string& node,
+                         const std::vector<model_demand>& said,
+                         absl::Time now) {
   std::erase_if(this->halls, [&](const auto& item) {
-    return now - item.second.at >= hall_time;
+    return now - item.second.at >= hall_ttl;
   });
-  hall_words& words = this->halls[hall];
+  hall_reports& words = this->halls[hall];
   std::erase_if(words.nodes, [&](const auto& item) {
-    return now - item.second.at >= word_time;
+    return now - item.second.at >= report_ttl;
   });
   words.at = now;
   words.nodes[node] = {said, now};
 }
 
-void demand_table::take_node(const std::string& node, const std::string& hall,
-                             const std::vector<model_demand>& said,
-                             absl::Time now) {
+void demand_table::update_node(const std::string& node, const std::string& hall,
+                               const std::vector<model_demand>& said,
+                               absl::Time now) {
   if (said.empty()) return;
-  this->take(hall, node, said, now);
+  this->store(hall, node, said, now);
   this->halls[hall].nodes.erase("");
 }
 
-void demand_table::take_hall(const std::string& hall,
-                             const std::vector<model_demand>& said,
-                             absl::Time now) {
+void demand_table::update_hall(const std::string& hall,
+                               const std::vector<model_demand>& said,
+                               absl::Time now) {
   if (said.empty()) return;
   this->halls[hall].nodes.clear();
-  this->take(hall, "", said, now);
+  this->store(hall, "", said, now);
 }
 
 std::vector<model_demand> demand_table::hall_sum(
@@ -67,7 +68,7 @@
   const auto found = this->halls.find(hall);
   if (found == this->halls.end()) return as_list(out);
   for (const auto& [node, said] : found->second.nodes) {
-    if (now - said.at < word_time) add(said.demand, out);
+    if (now - said.at < report_ttl) add(said.demand, out);
   }
   return as_list(out);
 }
@@ -79,10 +80,10 @@
   demand_view out;
   for (const auto& [hall, words] : this->halls) {
     const absl::Duration silent = now - words.at;
-    if (silent >= hall_time) continue;
-    if (silent >= word_time) out.missing_halls++;
+    if (silent >= hall_ttl) continue;
+    if (silent >= report_ttl) out.missing_halls++;
     for (const auto& [node, said] : words.nodes) {
-      if (now - said.at >= word_time) continue;
+      if (now - said.at >= report_ttl) continue;
       out.age = std::max(out.age, now - said.at);
       add(said.demand, all);
     }
--- a/src/demand-window.cc
+++ b/src/demand-window.cc
@@ -15,7 +15,7 @@
                            const request_size& size, absl::Time now) {
   const model_key key{service, model};
   const bool known = this->models.count(key) != 0;
-  if (!known && this->models.size() >= most_models) return false;
+  if (!known && this->models.size() >= max_models) return false;
   second_count& count = current(this->models[key], now);
   count.requests++;
   count.prompt_tokens += size.prompt;
--- a/src/detail/node-step.h
+++ b/src/detail/node-step.h
@@ -10,7 +10,7 @@
 namespace spokesail::detail {
 
 /// Applies one event to a node's state and collects the effects.
-class node_step final : public place_finder {
+class node_step final : public routing_view {
  public:
   node_step(node_state& state, absl::Time now) : s(state), now(now) {}
 
@@ -25,10 +25,10 @@
 
   // Members, probes and presence: node-beat.cc
   void on(const probe_event& e);
-  void on(const beat_event& e);
-  void on(const beat_ack_event& e);
+  void on(const heartbeat_event& e);
+  void on(const heartbeat_ack_event& e);
   void tick_members();
-  void send_beats();
+  void send_heartbeats();
 
   // The hall controller: node-control.cc
   void on(const platform_event& e);
@@ -48,14 +48,15 @@
 
   void on(const tick_event& e);
 
-  // place_finder
-  std::vector<open_place> open_places(target_kind kind,
-                                      const std::string& target) const override;
-  bool holds(target_kind kind, const attempt_target& target) const override;
+  // routing_view
+  std::vector<open_target> open_places(
+      target_kind kind, const std::string& target) const override;
+  bool can_complete(target_kind kind,
+                    const attempt_target& target) const override;
   std::vector<attempt_target> other_halls(
       target_kind kind, const std::string& target) const override;
   const configuration* config() const override;
-  absl::Duration reopen_guess(const std::string& target) const override;
+  absl::Duration estimated_reopen(const std::string& target) const override;
 
  private:
   void emit(effect e) { this->effects.push_back(std::move(e)); }
@@ -70,18 +71,18 @@
   void apply_head();
   void apply_host(const object& o);
   void apply_placement(const object& o);
-  void ask_for_bundle();
+  void request_bundle();
 
   std::vector<std::string> watchers() const;
-  void take_words(const beat& b, member& m);
+  void apply_host_observations(const heartbeat& b, member& m);
   void assign_probes();
   void send_probes();
-  void note_lost();
-  void note_open_groups();
-  beat make_beat();
+  void update_lost_hosts();
+  void update_open_groups();
+  heartbeat make_heartbeat();
   std::vector<std::string> open_targets() const;
   absl::Time probed_at() const;
-  void note_unreachable(const attempt_event& e);
+  void record_unreachable(const attempt_event& e);
   void emit_requests(request_actions& actions);
   controller_view make_controller_view() const;
   bool ready() const;
--- a/src/detail/socket-deadline.h
+++ b/src/detail/socket-deadline.h
@@ -19,7 +19,7 @@
       : timer(socket->get_executor()) {
     this->timer.expires_after(absl::ToChronoNanoseconds(limit));
     this->timer.async_wait([socket](boost::system::error_code error) {
-      if (!error) close_quietly(*socket);
+      if (!error) close_ignoring_errors(*socket);
     });
   }
 
--- a/src/detail/socket.h
+++ b/src/detail/socket.h
@@ -14,7 +14,7 @@
     boost::asio::as_tuple(boost::asio::use_awaitable);
 
 /// Whether a resting connection is still open and has no bytes to read.
-inline bool open_and_silent(boost::asio::ip::tcp::socket& socket) {
+inline bool is_open_and_idle(boost::asio::ip::tcp::socket& socket) {
   boost::system::error_code error;
   char byte = 0;
   socket.non_blocking(true, error);
@@ -24,7 +24,7 @@
 }
 
 /// Closes a socket; that it is closed already does not matter.
-inline void close_quietly(boost::asio::ip::tcp::socket& socket) {
+inline void close_ignoring_errors(boost::asio::ip::tcp::socket& socket) {
   boost::system::error_code ignored;
   socket.close(ignored);
 }
--- a/src/detail/worker-pool.cc
+++ b/src/detail/worker-pool.cc
@@ -11,7 +11,9 @@
 
 int worker_pool::current_tag() { return thread_tag; }
 
-bool worker_pool::wake() const { return this->stopped || !this->jobs.empty(); }
+bool worker_pool::has_work_or_stopped() const {
+  return this->stopped || !this->jobs.empty();
+}
 
 bool worker_pool::try_add(std::function<void()>& job) {
   absl::MutexLock lock(&this->mutex);
@@ -37,7 +39,8 @@
     {
       absl::MutexLock lock(&this->mutex);
       this->idle++;
-      this->mutex.Await(absl::Condition(this, &worker_pool::wake));
+      this->mutex.Await(
+          absl::Condition(this, &worker_pool::has_work_or_stopped));
       this->idle--;
       if (this->jobs.empty()) return;
       job = std::move(this->jobs.front());
--- a/src/detail/worker-pool.h
+++ b/src/detail/worker-pool.h
@@ -35,7 +35,7 @@
 
  private:
   void run();
-  bool wake() const ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+  bool has_work_or_stopped() const ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
 
   const size_t limit;
   const int tag;
--- a/src/document.cc
+++ b/src/document.cc
@@ -10,7 +10,7 @@
 
 constexpr char writes_field[] = "writes";
 
-bool remembers(const object& found, const std::string& write_id) {
+bool contains_write_id(const object& found, const std::string& write_id) {
   const auto ids = write_ids(found.body);
   return std::find(ids.begin(), ids.end(), write_id) != ids.end();
 }
@@ -33,8 +33,8 @@
                           const std::string& write_id) {
   auto ids = write_ids(base.body);
   ids.push_back(write_id);
-  if (ids.size() > remembered_writes) {
-    ids.erase(ids.begin(), ids.end() - remembered_writes);
+  if (ids.size() > max_write_ids) {
+    ids.erase(ids.begin(), ids.end() - max_write_ids);
   }
   json body = json::parse(spec);
   body[writes_field] = ids;
@@ -53,7 +53,8 @@
   return {call_kind::write, write.key, write.base_version, write.body};
 }
 
-document_write answered(document_write write, const platform_answer& answer) {
+document_write apply_answer(document_write write,
+                            const platform_answer& answer) {
   write.attempts++;
   if (answer.status == call_status::unavailable) return write;
   if (write.state == write_state::sending) {
@@ -65,13 +66,13 @@
     return write;
   }
   const bool ours = answer.status == call_status::ok &&
-                    remembers(answer.found, write.write_id);
+                    contains_write_id(answer.found, write.write_id);
   write.state = ours ? write_state::applied : write_state::lost;
   write.found = answer.found;
   return write;
 }
 
-bool settled(const document_write& write) {
+bool is_finished(const document_write& write) {
   return write.state == write_state::applied ||
          write.state == write_state::lost;
 }
--- a/src/domain-policy.cc
+++ b/src/domain-policy.cc
@@ -33,7 +33,7 @@
 };
 
 /// The most hosts of `free` that whole replicas of `sizes` can fill.
-int fillable(int free, const std::vector<int>& sizes) {
+int max_filled_hosts(int free, const std::vector<int>& sizes) {
   std::vector<int> most(static_cast<size_t>(free) + 1, 0);
   for (int n = 1; n <= free; n++) {
     for (const int size : sizes) {
@@ -69,8 +69,8 @@
   std::tuple<int, bool, int, int> cost(const domain_supply& supply, int need,
                                        const std::vector<int>& sizes) const {
     const int free = static_cast<int>(supply.free_hosts.size());
-    const int before = free - fillable(free, sizes);
-    const int after = (free - need) - fillable(free - need, sizes);
+    const int before = free - max_filled_hosts(free, sizes);
+    const int after = (free - need) - max_filled_hosts(free - need, sizes);
     const bool last_spare = free == need && supply.largest_group > need;
     return {after - before, last_spare, free, -supply.warm};
   }
--- a/src/engine-model.cc
+++ b/src/engine-model.cc
@@ -24,7 +24,7 @@
 
 /// The requests of a service, before any are seen.
 request_size usual_size(const engine_profile& engine) {
-  return {engine.usual_prompt, engine.usual_answer};
+  return {engine.mean_prompt_tokens, engine.mean_answer_tokens};
 }
 
 }  // namespace
@@ -41,16 +41,17 @@
                               const model_profile& model,
                               const group_option& option, double prompt) {
   const double read =
-      (option.unread_tokens + prompt) / engine.read_tokens_per_ms;
+      (option.pending_prefill_tokens + prompt) / engine.prefill_tokens_per_ms;
   const double steps =
-      engine.stride * step_ms(engine, option.running + 1.0, usual_size(engine));
+      engine.decode_steps_per_pass *
+      step_ms(engine, option.running + 1.0, usual_size(engine));
   return model.pace * option.slowness * (read + passes_to_first_event * steps);
 }
 
 double predict_event_gap_ms(const engine_profile& engine,
                             const model_profile& model,
                             const group_option& option, int more) {
-  return model.pace * option.slowness * engine.stride *
+  return model.pace * option.slowness * engine.decode_steps_per_pass *
          step_ms(engine, option.running + more, usual_size(engine));
 }
 
@@ -65,9 +66,10 @@
     double cost = std::numeric_limits<double>::infinity();
     if (option.running < engine.slots) {
       // The prompt is read while the others there wait.
-      const double events = size.answer / std::max(1, engine.stride);
+      const double events =
+          size.answer / std::max(1, engine.decode_steps_per_pass);
       cost =
-          option.distance_ms +
+          option.remote_penalty_ms +
           predict_first_event_ms(engine, model, option, size.prompt) +
           gap_weight * events * predict_event_gap_ms(engine, model, option, 1);
     }
--- a/src/entry.cc
+++ b/src/entry.cc
@@ -100,11 +100,11 @@
 
   bool on_data(const char* data, size_t size) override {
     if (!this->target.model_call || !this->stream) {
-      return this->target.plain_data(this->attempt, data, size);
+      return this->target.append_plain(this->attempt, data, size);
     }
     return this->parser.feed(data, size, [this](const std::string& event) {
       const bool first = !this->target.begun();
-      if (!this->target.model_event(this->attempt, event)) return false;
+      if (!this->target.append_event(this->attempt, event)) return false;
       this->m.count_tokens(1);
       if (first && this->target.begun()) {
         this->m.observe_first_token(
@@ -280,7 +280,7 @@
                     request_info& info, call& c) {
     info.workspace = req.get_header_value(detail::workspace_header);
     info.key = req.get_header_value(detail::key_header);
-    info.hopped = req.has_header(detail::hop_header);
+    info.forwarded = req.has_header(detail::hop_header);
     int64_t deadline_ms = 0;
     if (req.has_header(detail::deadline_header)) {
       const auto text = req.get_header_value(detail::deadline_header);
@@ -306,7 +306,7 @@
     const auto repeatable = req.get_header_value(detail::repeatable_header);
     if (repeatable == "no") info.repeatable = false;
     if (repeatable == "yes") info.repeatable = true;
-    c.hopped = info.hopped;
+    c.forwarded = info.forwarded;
     for (const auto& [name, value] : req.headers) {
       if (passed_on(name)) c.headers.emplace(name, value);
     }
@@ -328,7 +328,7 @@
     res.set_header(detail::request_header,
                    absl::StrCat(this->config.self.name, "-",
                                 absl::Hex(this->config.node.boot), "-", c.id));
-    if (c.hopped && req.has_header(detail::attempt_header)) {
+    if (c.forwarded && req.has_header(detail::attempt_header)) {
       res.set_header(detail::attempt_header,
                      req.get_header_value(detail::attempt_header));
     }
@@ -363,7 +363,7 @@
     if (body.contains("max_tokens") && body["max_tokens"].is_number()) {
       info.cost = 1 + body["max_tokens"].get<double>() / tokens_per_cost;
     }
-    if (info.hopped && body.contains("resume")) {
+    if (info.forwarded && body.contains("resume")) {
       c->resume_from({body["resume"].value("text", ""),
                       body["resume"].value("tokens", int64_t{0})});
     }
@@ -371,7 +371,7 @@
     c->body = body.dump();
     this->admit(info, c);
     this->name_request(req, *c, res);
-    const auto ended = c->wait_first();
+    const auto ended = c->wait_for_output();
     if (!ended ||
         (c->streamed && ended->kind == outcome_kind::answered && c->begun())) {
       this->stream_answer(c, res);
@@ -392,7 +392,7 @@
   }
 
   json whole_completion(const call& c) const {
-    const partial_answer answer = c.so_far();
+    const partial_response answer = c.received_so_far();
     json message = {{"role", "assistant"}, {"content", answer.text}};
     json choice = {{"index", 0},
                    {"message", message},
@@ -451,7 +451,7 @@
     info.repeatable_stated = req.has_header(detail::repeatable_header);
     this->admit(info, c);
     this->name_request(req, *c, res);
-    const auto ended = c->wait_first();
+    const auto ended = c->wait_for_output();
     if (ended->kind != outcome_kind::answered) {
       write_error(*ended, res);
       return;
@@ -483,7 +483,7 @@
       request.headers.emplace(detail::incarnation_header,
                               std::to_string(start.target.incarnation));
     }
-    const partial_answer had = c.so_far();
+    const partial_response had = c.received_so_far();
     if (c.model_call && had.tokens > 0) {
       json body = json::parse(c.body, nullptr, false);
       body["resume"] = {{"tokens", had.tokens}, {"text", had.text}};
--- a/src/evacuation-feed.cc
+++ b/src/evacuation-feed.cc
@@ -12,7 +12,7 @@
 /// A watch that runs out proves that nothing has changed, and each is priced.
 /// One that hangs for this part of the time within which a hall is to be empty
 /// leaves the rest for another node's.
-constexpr double wait_share = 0.3;
+constexpr double watch_wait_share = 0.3;
 
 /// The first watch of a node that begins to watch is short, so that it has a
 /// proof of its own before those that ask it pass it over.
@@ -29,8 +29,8 @@
 void log_change(node_context& node, const char* event, const std::string& hall,
                 const std::string& source) {
   const absl::Time now = node.now();
-  const evacuation_word known = node.evacuations.word(now);
-  node.log.belief(
+  const evacuation_snapshot known = node.evacuations.snapshot(now);
+  node.log.state_change(
       event,
       {{"hall", hall},
        {"rev", absl::StrCat(known.revision)},
@@ -43,10 +43,10 @@
 
 }  // namespace
 
-void take_evacuations(node_context& node, const evacuation_word& word,
-                      absl::Time as_of, const std::string& source) {
+void apply_evacuations(node_context& node, const evacuation_snapshot& snapshot,
+                       absl::Time as_of, const std::string& source) {
   const evacuation_change change =
-      node.evacuations.take(word, as_of, node.now());
+      node.evacuations.apply(snapshot, as_of, node.now());
   for (const auto& hall : change.begun) {
     log_change(node, "evacuation_begun", hall, source);
   }
@@ -62,14 +62,16 @@
 
 absl::Duration evacuation_feed::wait(bool first) {
   const absl::Duration bound =
-      this->node.settings.bounds.evacuate_time.value_or(absl::ZeroDuration());
-  this->waited = first ? first_watch_wait : wait_share * bound;
-  return this->waited;
+      this->node.settings.bounds.evacuate_deadline.value_or(
+          absl::ZeroDuration());
+  this->current_watch_wait =
+      first ? first_watch_wait : watch_wait_share * bound;
+  return this->current_watch_wait;
 }
 
 bool evacuation_feed::may_list() const {
   // While the store is away, only the configuration is asked for.
-  return this->node.store_reachable && !this->awaited();
+  return this->node.store_reachable && !this->expected_from_relay();
 }
 
 bool evacuation_feed::must_list() const {
@@ -77,35 +79,36 @@
 }
 
 int64_t evacuation_feed::known_revision() const {
-  return this->node.evacuations.word(this->node.now()).revision;
+  return this->node.evacuations.snapshot(this->node.now()).revision;
 }
 
-void evacuation_feed::take_listing(const object_listing& listing,
-                                   absl::Time proof) {
-  evacuation_word word;
-  word.revision = listing.revision;
-  word.age = absl::ZeroDuration();
-  for (const auto& o : listing.objects) word.halls.insert(o.key.name);
-  take_evacuations(this->node, word, proof, "store");
+void evacuation_feed::apply_listing(const object_listing& listing,
+                                    absl::Time proof) {
+  evacuation_snapshot snapshot;
+  snapshot.revision = listing.revision;
+  snapshot.age = absl::ZeroDuration();
+  for (const auto& o : listing.objects) snapshot.halls.insert(o.key.name);
+  apply_evacuations(this->node, snapshot, proof, "store");
 }
 
-absl::Duration evacuation_feed::take_changes(const object_changes& changes,
-                                             absl::Time sent) {
-  evacuation_word word = this->node.evacuations.word(this->node.now());
-  word.revision = changes.revision;
-  word.age = absl::ZeroDuration();
+absl::Duration evacuation_feed::apply_changes(const object_changes& changes,
+                                              absl::Time sent) {
+  evacuation_snapshot snapshot =
+      this->node.evacuations.snapshot(this->node.now());
+  snapshot.revision = changes.revision;
+  snapshot.age = absl::ZeroDuration();
   for (const auto& o : changes.objects) {
     if (o.deleted) {
-      word.halls.erase(o.key.name);
+      snapshot.halls.erase(o.key.name);
     } else {
-      word.halls.insert(o.key.name);
+      snapshot.halls.insert(o.key.name);
     }
   }
   // A watch that ran out saw nothing until its wait was over.
-  const absl::Time over = sent + this->waited;
+  const absl::Time over = sent + this->current_watch_wait;
   const bool ran_out = changes.objects.empty() && this->node.now() >= over;
   const absl::Time proof = ran_out ? over : sent;
-  take_evacuations(this->node, word, proof, "store");
+  apply_evacuations(this->node, snapshot, proof, "store");
   return absl::ZeroDuration();
 }
 
--- a/src/event-splitter.cc
+++ b/src/event-splitter.cc
@@ -32,9 +32,9 @@
 
 }  // namespace
 
-std::optional<event_run> event_splitter::feed(std::string_view bytes) {
+std::optional<event_batch> event_splitter::feed(std::string_view bytes) {
   this->pending.append(bytes);
-  event_run out;
+  event_batch out;
   size_t done = 0;
   for (;;) {
     const size_t end = event_end(this->pending, done);
--- a/src/event-splitter.h
+++ b/src/event-splitter.h
@@ -9,13 +9,13 @@
 namespace spokesail {
 
 /// Whole events that came together.
-struct event_run {
+struct event_batch {
   /// The events' bytes as they came, ends included.
   std::string bytes;
   int events = 0;
   /// Id of the last of them; -1 if none has an id.
   int64_t last_id = -1;
-  bool operator==(const event_run&) const = default;
+  bool operator==(const event_batch&) const = default;
 };
 
 /// Holds back the part of a stream that is not yet a whole event, so that
@@ -27,7 +27,7 @@
 
   /// Takes bytes and gives the events that are whole by now. Nothing if an
   /// event is too large.
-  std::optional<event_run> feed(std::string_view bytes);
+  std::optional<event_batch> feed(std::string_view bytes);
 
   /// Bytes of the event that is not whole.
   const std::string& rest() const { return this->pending; }
--- a/src/exchange.cc
+++ b/src/exchange.cc
@@ -45,39 +45,39 @@
   return "none";
 }
 
-exchange::exchange(node_context& state, request_place target, double prompt)
+exchange::exchange(node_context& state, endpoint_target target, double prompt)
     : node(state),
-      place(std::move(target)),
+      endpoint(std::move(target)),
       prompt_tokens(prompt),
       socket(state.loop) {
   this->node.exchanges.insert(this);
-  this->node.loads.begin(this->place.load_key(), prompt);
+  this->node.loads.begin(this->endpoint.load_key(), prompt);
 }
 
 exchange::~exchange() {
   this->node.exchanges.erase(this);
-  if (!this->writing) {
-    this->node.loads.read(this->place.load_key(), this->prompt_tokens);
+  if (!this->events_started) {
+    this->node.loads.read(this->endpoint.load_key(), this->prompt_tokens);
   }
-  this->node.loads.end(this->place.load_key());
+  this->node.loads.end(this->endpoint.load_key());
 }
 
 void exchange::abort(abort_cause cause) {
   if (this->aborted != abort_cause::none) return;
   this->aborted = cause;
-  detail::close_quietly(this->socket);
+  detail::close_ignoring_errors(this->socket);
 }
 
-void exchange::note_event() {
+void exchange::record_event() {
   this->last_event = this->node.now();
-  if (this->writing) return;
-  this->writing = true;
-  this->node.loads.read(this->place.load_key(), this->prompt_tokens);
+  if (this->events_started) return;
+  this->events_started = true;
+  this->node.loads.read(this->endpoint.load_key(), this->prompt_tokens);
 }
 
 net::awaitable<std::string> exchange::connect(bool reuse) {
   if (reuse) {
-    auto kept = this->node.pool.take(this->place.server, this->node.now());
+    auto kept = this->node.pool.take(this->endpoint.server, this->node.now());
     if (kept) {
       this->socket = std::move(*kept);
       this->reused = true;
@@ -86,7 +86,7 @@
   }
   const absl::Time whole = this->limit;
   this->limit = std::min(whole, this->node.now() + connect_limit);
-  const auto error = co_await connect_to(this->socket, this->place.address);
+  const auto error = co_await connect_to(this->socket, this->endpoint.address);
   this->limit = whole;
   co_return error ? error.message() : std::string();
 }
@@ -134,7 +134,7 @@
   const absl::Duration time =
       answer.keep_alive ? *answer.keep_alive - keep_margin : default_keep;
   if (time <= absl::ZeroDuration()) return;
-  this->node.pool.keep(this->place.server, std::move(this->socket),
+  this->node.pool.keep(this->endpoint.server, std::move(this->socket),
                        this->node.now() + std::min(time, default_keep));
 }
 
--- a/src/exchange.h
+++ b/src/exchange.h
@@ -20,7 +20,7 @@
 constexpr unsigned first_server_error = 500;
 
 /// Where a request can be sent.
-struct request_place {
+struct endpoint_target {
   /// The server that takes it: a group's head or a plain service's server.
   std::string server;
   std::string address;
@@ -51,7 +51,7 @@
 /// of the node may break it off; what waits on it then ends with an error.
 class exchange {
  public:
-  exchange(node_context& node, request_place place, double prompt_tokens);
+  exchange(node_context& node, endpoint_target endpoint, double prompt_tokens);
   ~exchange();
   exchange(const exchange&) = delete;
   exchange& operator=(const exchange&) = delete;
@@ -83,31 +83,31 @@
   void abort(abort_cause cause);
 
   /// Takes note of an event of a stream.
-  void note_event();
+  void record_event();
 
   node_context& node;
-  const request_place place;
+  const endpoint_target endpoint;
   const double prompt_tokens;
   /// Whether it uses a connection that has served another request.
   bool reused = false;
   /// Why it was broken off; none if it was not.
   abort_cause aborted = abort_cause::none;
   /// Whether servers had ended under the request before it was sent here.
-  bool repeated = false;
+  bool after_server_loss = false;
   /// Whether the head of an answer came.
-  bool answered = false;
+  bool head_received = false;
   /// Whether its server ended it before its time, by a break or by silence.
   bool lost = false;
   /// A member of its group that did not answer; empty if none was found.
-  std::string lost_member;
+  std::string unresponsive_member;
   /// When it is broken off, whatever it waits for.
   absl::Time limit = absl::InfiniteFuture();
   /// Whether it is the caller that is waited for.
-  bool blocked = false;
+  bool waiting_for_caller = false;
   /// Whether the caller took none of the answer for a while just before.
-  bool left_unread = false;
+  bool caller_not_reading = false;
   /// Whether a stream's events are coming.
-  bool writing = false;
+  bool events_started = false;
   /// When it began to send the request.
   absl::Time sent_at = absl::InfiniteFuture();
   /// When the last event of a stream came.
@@ -116,7 +116,7 @@
   /// nothing tells.
   double expected_ms = 0;
   /// When the first event is overdue.
-  absl::Time first_event_by = absl::InfiniteFuture();
+  absl::Time first_event_deadline = absl::InfiniteFuture();
 
  private:
   /// Bytes that one read takes at most: some events of a stream.
--- a/src/fleet-size.cc
+++ b/src/fleet-size.cc
@@ -3,15 +3,15 @@
 
 namespace spokesail {
 
-void fleet_size::note(int nodes, absl::Time now) {
+void peak_fleet_size::note(int nodes, absl::Time now) {
   while (!this->counts.empty() && this->counts.back().nodes <= nodes) {
     this->counts.pop_back();
   }
   this->counts.push_back({nodes, now});
 }
 
-std::optional<int> fleet_size::most(absl::Time now) {
-  while (this->counts.size() > 1 && now - this->counts.front().at > memory) {
+std::optional<int> peak_fleet_size::most(absl::Time now) {
+  while (this->counts.size() > 1 && now - this->counts.front().at > retention) {
     this->counts.pop_front();
   }
   if (this->counts.empty()) return std::nullopt;
--- /dev/null
+++ b/src/grant-client.cc
@@ -0,0 +1,110 @@
+#include "spokesail/grant-client.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace spokesail {
+
+void grant_client::add_demand(const std::string& server, int64_t incarnation,
+                              int most) {
+  const auto known = this->demand_by_server.find(server);
+  if (known == this->demand_by_server.end() &&
+      this->demand_by_server.size() >= max_servers) {
+    return;
+  }
+  server_request_count& wished = this->demand_by_server[server];
+  wished.server = server;
+  wished.incarnation = incarnation;
+  wished.count = std::min(most, wished.count + 1);
+}
+
+bool grant_client::request_due(absl::Time now) const {
+  return !this->demand_by_server.empty() &&
+         now - this->last_request_at >= this->request_interval;
+}
+
+grant_request grant_client::ask(uint64_t nonce, absl::Time now) {
+  grant_request out{nonce, {}};
+  for (auto& [server, wished] : this->demand_by_server)
+    out.wanted.push_back(wished);
+  this->demand_by_server.clear();
+  this->pending_requests[nonce] = now;
+  this->last_request_at = now;
+  this->request_interval = this->last_request_granted
+                               ? this->timing.min_request_interval
+                               : std::min(2 * this->request_interval,
+                                          this->timing.max_request_interval);
+  this->last_request_granted = false;
+  return out;
+}
+
+int grant_client::take(const grant_response& said, absl::Time now) {
+  const auto question = this->pending_requests.find(said.nonce);
+  if (question == this->pending_requests.end()) return 0;
+  const absl::Time until = question->second + this->timing.grant_lifetime;
+  this->pending_requests.erase(question);
+  if (now >= until) return 0;
+  int out = 0;
+  for (const server_request_count& granted : said.granted) {
+    if (granted.count <= 0) continue;
+    std::deque<grant_batch>& portions = this->grants[granted.server];
+    // Answers may come in another order than their questions were asked in.
+    const auto at =
+        std::find_if(portions.begin(), portions.end(),
+                     [&](const auto& p) { return p.until > until; });
+    portions.insert(at, {until, granted.count});
+    out += granted.count;
+  }
+  if (out > 0) {
+    this->last_request_granted = true;
+    this->request_interval = this->timing.min_request_interval;
+  }
+  return out;
+}
+
+bool grant_client::has(const std::string& server, absl::Time now) const {
+  const auto found = this->grants.find(server);
+  return found != this->grants.end() && !found->second.empty() &&
+         found->second.back().until > now;
+}
+
+std::optional<absl::Time> grant_client::use(const std::string& server,
+                                            absl::Time now) {
+  const auto found = this->grants.find(server);
+  if (found == this->grants.end()) return std::nullopt;
+  for (grant_batch& p : found->second) {
+    if (p.until <= now || p.count == 0) continue;
+    const absl::Time until = p.until;
+    if (--p.count == 0)
+      std::erase_if(found->second,
+                    [](const auto& spent) { return spent.count == 0; });
+    return until;
+  }
+  return std::nullopt;
+}
+
+int grant_client::expire(absl::Time now) {
+  std::erase_if(this->pending_requests, [&](const auto& item) {
+    return item.second + this->timing.grant_lifetime <= now;
+  });
+  int unused = 0;
+  for (auto& [server, portions] : this->grants) {
+    while (!portions.empty() && portions.front().until <= now) {
+      unused += portions.front().count;
+      portions.pop_front();
+    }
+  }
+  std::erase_if(this->grants,
+                [](const auto& item) { return item.second.empty(); });
+  return unused;
+}
+
+int grant_client::held(absl::Time now) const {
+  int out = 0;
+  for (const auto& [server, portions] : this->grants) {
+    for (const grant_batch& p : portions) out += p.until > now ? p.count : 0;
+  }
+  return out;
+}
+
+}  // namespace spokesail
--- a/src/cold-gossip.cc
+++ b/src/grant-coordinator.cc
@@ -1,4 +1,4 @@
-#include "cold-gossip.h"
+#include "grant-coordinator.h"
 
 #include <absl/strings/str_cat.h>
 #include <absl/strings/str_join.h>
@@ -13,13 +13,13 @@
 }
 
 /// Servers with their requests, for logs.
-std::string to_text(const std::vector<server_count>& counts) {
+std::string to_text(const std::vector<server_request_count>& counts) {
   return absl::StrJoin(counts, ",", [](std::string* out, const auto& c) {
     absl::StrAppend(out, c.server, ":", c.count);
   });
 }
 
-int sum(const std::vector<server_count>& counts) {
+int sum(const std::vector<server_request_count>& counts) {
   int out = 0;
   for (const auto& c : counts) out += c.count;
   return out;
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-double cold_gossip::rate_of(const std::string& server) const {
+double grant_coordinator::cold_rate_of(const std::string& server) const {
   const server_entry* entry = this->node.directory.find(server);
   if (entry == nullptr || !this->node.routes) return 0;
   const backend_service* service =
@@ -35,12 +35,13 @@
   return service == nullptr ? 0 : service->cold_requests_per_s;
 }
 
-cold_bucket cold_gossip::bucket_of(const server_count& wanted,
-                                   absl::Time now) const {
-  const double rate = this->rate_of(wanted.server);
-  const cold_bucket cold =
-      rate > 0 ? bucket_for(rate, this->node.cold.times().grant_time)
-               : cold_bucket();
+token_bucket_params grant_coordinator::bucket_of(
+    const server_request_count& wanted, absl::Time now) const {
+  const double rate = this->cold_rate_of(wanted.server);
+  const token_bucket_params cold =
+      rate > 0
+          ? bucket_for_cold_rate(rate, this->node.cold.times().grant_lifetime)
+          : token_bucket_params();
   const std::optional<double> limit =
       this->node.limits.find({wanted.server, wanted.incarnation});
   if (!limit) return cold;
@@ -48,11 +49,11 @@
   const auto found = servers.find(wanted.server);
   const bool is_cold =
       rate > 0 && found != servers.end() && found->second.cold_until > now;
-  const cold_bucket limited = bucket_for_limit(*limit);
+  const token_bucket_params limited = bucket_for_limit(*limit);
   return is_cold ? smaller_bucket(cold, limited) : limited;
 }
 
-std::vector<limit_report> cold_gossip::merge_limits(
+std::vector<limit_report> grant_coordinator::merge_limits(
     const std::vector<limit_report>& said, absl::Time now) {
   std::vector<limit_report> out;
   for (const limit_report& report : said) {
@@ -63,10 +64,11 @@
   return out;
 }
 
-void cold_gossip::follow_lease(absl::Time now) {
+void grant_coordinator::update_term(absl::Time now) {
   // A lease that lapsed and was taken again has another fence.
-  const std::optional<int64_t> held =
-      this->keeper.holds() ? std::optional(this->keeper.fence()) : std::nullopt;
+  const std::optional<int64_t> held = this->manager.holds()
+                                          ? std::optional(this->manager.fence())
+                                          : std::nullopt;
   if (held == this->term) return;
   this->term = held;
   if (held) {
@@ -74,20 +76,22 @@
   } else {
     this->ledger.end_term();
   }
-  this->node.log.belief(held ? "cold_term_begun" : "cold_term_ended",
-                        {{"fence", absl::StrCat(this->keeper.fence())}}, now);
+  this->node.log.state_change(held ? "cold_term_begun" : "cold_term_ended",
+                              {{"fence", absl::StrCat(this->manager.fence())}},
+                              now);
 }
 
-cold_grant cold_gossip::grant(const std::string& peer,
-                              const cold_request& asked, absl::Time now) {
-  this->follow_lease(now);
+grant_response grant_coordinator::grant(const std::string& peer,
+                                        const grant_request& asked,
+                                        absl::Time now) {
+  this->update_term(now);
   std::vector<limit_report> limits = this->merge_limits(asked.limits, now);
-  cold_grant out = this->ledger.answer(
+  grant_response out = this->ledger.answer(
       asked, [&](const auto& wanted) { return this->bucket_of(wanted, now); },
       now);
   out.limits = std::move(limits);
   this->node.metrics.count_cold("granted", sum(out.granted));
-  this->node.log.belief(
+  this->node.log.state_change(
       "cold_granted",
       {{"peer", peer},
        {"asked", to_text(asked.wanted)},
@@ -99,16 +103,16 @@
   return out;
 }
 
-void cold_gossip::ask(absl::Time now) {
-  cold_request asked = this->node.cold.ask(this->node.random.engine(), now);
-  for (const server_count& wanted : asked.wanted) {
+void grant_coordinator::ask(absl::Time now) {
+  grant_request asked = this->node.cold.ask(this->node.random.engine(), now);
+  for (const server_request_count& wanted : asked.wanted) {
     const auto known =
         this->node.limits.report({wanted.server, wanted.incarnation}, now);
     if (known) asked.limits.push_back(*known);
   }
-  const std::string holder = this->keeper.holder();
+  const std::string holder = this->manager.holder();
   this->node.metrics.count_cold("asked", sum(asked.wanted));
-  this->node.log.belief(
+  this->node.log.state_change(
       "cold_asked",
       {{"holder", holder},
        {"wanted", to_text(asked.wanted)},
@@ -123,15 +127,17 @@
   }
 }
 
-void cold_gossip::answer(const std::string& peer, const cold_request& asked) {
-  if (!this->keeper.holds()) return;
-  cold_grant out = this->grant(peer, asked, this->node.now());
+void grant_coordinator::answer(const std::string& peer,
+                               const grant_request& asked) {
+  if (!this->manager.holds()) return;
+  grant_response out = this->grant(peer, asked, this->node.now());
   // Who hears nothing asks again.
   const bool has_content = !out.granted.empty() || !out.limits.empty();
   if (has_content) this->link.send(peer, std::move(out));
 }
 
-void cold_gossip::take(const std::string& peer, const cold_grant& said) {
+void grant_coordinator::take(const std::string& peer,
+                             const grant_response& said) {
   const absl::Time now = this->node.now();
   for (const auto& report : said.limits) this->node.limits.take(report, now);
   if (said.granted.empty()) return;
@@ -141,28 +147,29 @@
     return;
   }
   this->node.metrics.count_cold("late", sum(said.granted));
-  this->node.log.belief("cold_grant_late",
-                        {{"peer", peer}, {"granted", to_text(said.granted)}},
-                        now);
+  this->node.log.state_change(
+      "cold_grant_late", {{"peer", peer}, {"granted", to_text(said.granted)}},
+      now);
 }
 
-void cold_gossip::step() {
+void grant_coordinator::step() {
   const absl::Time now = this->node.now();
-  this->follow_lease(now);
+  this->update_term(now);
   this->node.metrics.count_cold("unused", this->node.cold.expire(now));
-  if (this->node.cold.due(now)) this->ask(now);
+  if (this->node.cold.request_due(now)) this->ask(now);
 }
 
-int cold_gossip::count_cold() const {
+int grant_coordinator::count_cold() const {
   const absl::Time now = this->node.now();
   const auto& servers = this->node.directory.servers();
   return static_cast<int>(
       std::count_if(servers.begin(), servers.end(), [&](const auto& item) {
-        return item.second.cold_until > now && this->rate_of(item.first) > 0;
+        return item.second.cold_until > now &&
+               this->cold_rate_of(item.first) > 0;
       }));
 }
 
-void cold_gossip::set_gauges() const {
+void grant_coordinator::set_gauges() const {
   this->node.metrics.set_gauge("cold_servers", this->count_cold());
   this->node.metrics.set_gauge("cold_grants_held",
                                this->node.cold.held(this->node.now()));
