--- a/src/group-controller.cc
+++ b/src/group-controller.cc
@@ -12,15 +12,15 @@
 
 /// A server that refused an order is asked for its state after this long, and
 /// not at once: it may be busy with an earlier order.
-constexpr absl::Duration refused_wait = absl::Milliseconds(250);
+constexpr absl::Duration refused_probe_delay = absl::Milliseconds(250);
 
 /// A server that was busy with an order is asked again after this long: a
 /// small part of a load, and each question is priced.
-constexpr absl::Duration busy_wait = absl::Seconds(2);
+constexpr absl::Duration busy_probe_delay = absl::Seconds(2);
 
 /// So many silent servers do not yet show that the holder itself is cut off,
 /// however small the fleet is.
-constexpr size_t few_silent = 2;
+constexpr size_t max_ignored_silent = 2;
 
 /// Period of the summary of models; frequent enough to see in a log why a
 /// group was missing when a request found no place.
@@ -71,7 +71,7 @@
                                   const earlier_loads& before,
                                   const std::vector<model_share>& last_shares) {
   this->stop_term();
-  this->take_division(last_shares);
+  this->restore_allocation(last_shares);
   this->inherited = before;
   if (fence_number != this->epochs_fence) this->epochs = 0;
   this->epochs_fence = fence_number;
@@ -83,19 +83,19 @@
   this->tracks.clear();
   this->plans.clear();
   this->warmups.clear();
-  this->released.clear();
+  this->stopped_groups.clear();
   this->dissolving.clear();
   this->incomplete.clear();
   this->loads.clear();
   this->inherited.reset();
-  this->questions = question_window();
-  this->open_orders = question_window();
-  this->settlings.clear();
+  this->pending_probes = congestion_window();
+  this->pending_orders = congestion_window();
+  this->server_counts.clear();
   this->summarized.clear();
   this->demand.reset();
-  this->divisions.clear();
-  this->giving.clear();
-  this->lacking.clear();
+  this->allocations.clear();
+  this->reassigned_groups.clear();
+  this->lacking_since.clear();
 }
 
 void group_controller::suspect(const std::string& server, absl::Time now) {
@@ -105,10 +105,10 @@
   found->second.probe_at = std::min(found->second.probe_at, now);
 }
 
-void group_controller::on_order(const group_order& order, order_result result,
-                                absl::Time now) {
+void group_controller::on_order_result(const group_order& order,
+                                       order_result result, absl::Time now) {
   const bool answered = result != order_result::unknown;
-  this->open_orders.ended(order.server, answered, this->own_delay, now);
+  this->pending_orders.ended(order.server, answered, this->loop_delay, now);
   const auto found = this->tracks.find(order.server);
   if (found == this->tracks.end()) return;
   server_track& track = found->second;
@@ -118,12 +118,12 @@
     this->on_accepted(track, order, result, now);
     return;
   }
-  track.orders_taken.reset();
+  track.orders_started.reset();
   if (order.kind == group_order_kind::stage) track.staging_until = now;
   const bool gone = result == order_result::unreachable ||
                     result == order_result::other_server;
   const bool ask_now = result == order_result::unknown || gone;
-  track.probe_at = now + (ask_now ? absl::ZeroDuration() : refused_wait);
+  track.probe_at = now + (ask_now ? absl::ZeroDuration() : refused_probe_delay);
 }
 
 void group_controller::on_accepted(server_track& track,
@@ -132,27 +132,28 @@
   // A leave is done at once, so it is answered as done although it counts.
   const bool counted =
       result == order_result::begun || order.kind == group_order_kind::leave;
-  if (counted) track.orders_taken = order.expected_orders + 1;
+  if (counted) track.orders_started = order.expected_orders + 1;
   if (order.kind == group_order_kind::stage) return;
   if (order.kind == group_order_kind::join) track.last_model = order.model;
-  if (order.kind == group_order_kind::leave && track.leads == order.group) {
-    this->released.insert(order.group);
+  if (order.kind == group_order_kind::leave &&
+      track.leaving_group == order.group) {
+    this->stopped_groups.insert(order.group);
   }
   track.assumed = membership_after(order);
-  track.assumed_until = now + this->options.assume_time;
+  track.assumed_until = now + this->options.assumption_ttl;
 }
 
 void group_controller::on_report(const std::string& server,
                                  const std::optional<server_report>& report,
                                  absl::Time now) {
   // An answer to a question of an earlier term is as good as any.
-  this->questions.ended(server, report.has_value(), this->own_delay, now);
+  this->pending_probes.ended(server, report.has_value(), this->loop_delay, now);
   const auto found = this->tracks.find(server);
   if (found == this->tracks.end()) return;
   server_track& track = found->second;
   if (!report) {
     track.silent = true;
-    track.probe_at = now + this->options.retry_probe;
+    track.probe_at = now + this->options.probe_retry_interval;
     return;
   }
   if (report->incarnation != 0 && report->incarnation < track.incarnation) {
@@ -161,25 +162,25 @@
     return;
   }
   if (report->incarnation > track.incarnation)
-    this->take_restart(track, *report, now);
+    this->reset_after_restart(track, *report, now);
   track.silent = false;
   track.probe_at = absl::InfiniteFuture();
-  if (!track.pending) track.orders_taken = report->orders_taken;
+  if (!track.pending) track.orders_started = report->orders_started;
   track.order_running = report->order_running;
   // It is asked again, since the end of a load that failed changes no entry.
-  if (track.order_running) track.probe_at = now + busy_wait;
+  if (track.order_running) track.probe_at = now + busy_probe_delay;
 }
 
-void group_controller::take_restart(server_track& track,
-                                    const server_report& report,
-                                    absl::Time now) {
+void group_controller::reset_after_restart(server_track& track,
+                                           const server_report& report,
+                                           absl::Time now) {
   const bool known_before = track.incarnation != 0;
   if (known_before) track = server_track();
   track.incarnation = report.incarnation;
   if (!known_before) return;
   // Its entry may still be that of the earlier start.
   track.assumed = report.membership;
-  track.assumed_until = now + this->options.assume_time;
+  track.assumed_until = now + this->options.assumption_ttl;
 }
 
 std::vector<std::string> group_controller::silent_servers() const {
@@ -205,11 +206,11 @@
     const service_state& s, const std::vector<std::string>& members) const {
   if (this->closed_halls.empty()) return false;
   return std::any_of(members.begin(), members.end(), [&](const auto& id) {
-    return s.knows(id) && this->in_closed_hall(s.entry(id));
+    return s.has_server(id) && this->in_closed_hall(s.entry(id));
   });
 }
 
-void group_controller::take_directory(const server_directory& directory,
+void group_controller::sync_directory(const server_directory& directory,
                                       absl::Time now) {
   for (const auto& [id, server] : directory.servers()) {
     if (server.entry.domain.empty()) continue;
@@ -232,7 +233,7 @@
       track.leaving_since = std::min(track.leaving_since, now);
     }
     // A load may take far less than it does at most.
-    if (staged_on(server.entry, track.staging))
+    if (staged_on(server.entry, track.staging_model))
       track.staging_until = std::min(track.staging_until, now);
   }
   std::erase_if(this->tracks, [&](const auto& item) {
@@ -240,24 +241,24 @@
   });
 }
 
-void group_controller::probe_silent(group_actions& out, absl::Time now) {
+void group_controller::send_probes(group_actions& out, absl::Time now) {
   const auto ask_where = [&](const auto& wanted) {
     for (auto& [id, track] : this->tracks) {
-      if (!this->questions.open()) return;
-      if (this->questions.asks(id) || !wanted(track)) continue;
-      this->questions.sent(id);
-      out.reports.push_back(id);
+      if (!this->pending_probes.open()) return;
+      if (this->pending_probes.asks(id) || !wanted(track)) continue;
+      this->pending_probes.sent(id);
+      out.report_requests.push_back(id);
     }
   };
   // Whoever is in doubt comes before those that were never asked.
   ask_where([&](const server_track& t) { return now >= t.probe_at; });
   ask_where([&](const server_track& t) {
-    return !t.orders_taken && !t.pending &&
+    return !t.orders_started && !t.pending &&
            t.probe_at == absl::InfiniteFuture();
   });
 }
 
-group_controller::service_state group_controller::read_service(
+group_controller::service_state group_controller::build_service_state(
     const server_directory& directory, const backend_service& service) const {
   service_state s;
   s.service = service.name;
@@ -283,12 +284,12 @@
 bool group_controller::send(const server_entry& entry, group_order order,
                             group_actions& out) {
   server_track& track = this->tracks[entry.id];
-  if (track.pending || !track.orders_taken) return false;
-  if (!this->open_orders.open()) return false;
-  this->open_orders.sent(entry.id);
+  if (track.pending || !track.orders_started) return false;
+  if (!this->pending_orders.open()) return false;
+  this->pending_orders.sent(entry.id);
   order.server = entry.id;
   order.address = entry.address;
-  order.expected_orders = *track.orders_taken;
+  order.expected_orders = *track.orders_started;
   order.fence = this->fence;
   track.pending = order;
   out.orders.push_back(std::move(order));
@@ -303,8 +304,8 @@
   return by_server;
 }
 
-bool group_controller::cut_off(const server_directory& directory) const {
-  if (this->silent_servers().size() <= few_silent) return false;
+bool group_controller::is_isolated(const server_directory& directory) const {
+  if (this->silent_servers().size() <= max_ignored_silent) return false;
   // A data hall that is cut off from a sound holder is silent as a whole, so
   // halls are counted rather than servers.
   std::map<std::string, hall_count> halls;
@@ -318,19 +319,19 @@
   const auto dark =
       std::count_if(halls.begin(), halls.end(), [&](const auto& hall) {
         const auto& [servers, silent] = hall.second;
-        return silent > this->options.cut_off_share * servers;
+        return silent > this->options.isolation_threshold * servers;
       });
   return 2 * static_cast<size_t>(dark) > halls.size();
 }
 
 group_actions group_controller::step(const server_directory& directory,
                                      const routing_config& config,
-                                     bool loads_count, absl::Time now) {
+                                     bool requests_seen, absl::Time now) {
   group_actions out;
   if (!this->active()) return out;
-  this->take_directory(directory, now);
-  this->probe_silent(out, now);
-  if (this->cut_off(directory)) {
+  this->sync_directory(directory, now);
+  this->send_probes(out, now);
+  if (this->is_isolated(directory)) {
     out.notes.push_back({"controller_cut_off",
                          absl::StrCat(this->silent_servers().size()),
                          "too many servers do not answer"});
@@ -339,16 +340,16 @@
   }
   for (const auto& service : config.services) {
     if (!service.engine) continue;
-    this->run_service(directory, service, loads_count, now, out);
+    this->reconcile_service(directory, service, requests_seen, now, out);
   }
   return out;
 }
 
-void group_controller::run_service(const server_directory& directory,
-                                   const backend_service& service,
-                                   bool loads_count, absl::Time now,
-                                   group_actions& out) {
-  service_state s = this->read_service(directory, service);
+void group_controller::reconcile_service(const server_directory& directory,
+                                         const backend_service& service,
+                                         bool requests_seen, absl::Time now,
+                                         group_actions& out) {
+  service_state s = this->build_service_state(directory, service);
   std::set<std::string> standing;
   for (const auto& group : s.groups) {
     standing.insert(group.name);
@@ -356,30 +357,30 @@
       this->end_warmup(s, group, out);
       continue;
     }
-    this->judge_group(s, group, now, out);
+    this->reconcile_group(s, group, now, out);
   }
   for (const auto& [name, plan] : this->plans) {
-    if (standing.count(name) != 0 || plan.give_up_at <= now) continue;
+    if (standing.count(name) != 0 || plan.deadline <= now) continue;
     if (plan.service == s.service && !this->in_closed_hall(s, plan.members)) {
       s.group_count[plan.model]++;
     }
   }
   std::erase_if(this->plans, [&](const auto& item) {
-    return item.second.give_up_at <= now && standing.count(item.first) == 0;
+    return item.second.deadline <= now && standing.count(item.first) == 0;
   });
-  if (loads_count) this->divide(s, now, out);
+  if (requests_seen) this->update_allocation(s, now, out);
   s.spare_groups = this->spare_groups(s);
-  if (loads_count || this->settled(s, now)) {
-    this->form_groups(s, loads_count, now, out);
-    if (loads_count) this->give_way(s, now, out);
+  if (requests_seen || this->server_count_stable(s, now)) {
+    this->form_groups(s, requests_seen, now, out);
+    if (requests_seen) this->reassign_hosts(s, now, out);
     this->form_spare_groups(s, now, out);
   }
   this->send_joins(s, now, out);
-  if (loads_count || this->all_filled(s)) {
-    this->stage_spares(s, loads_count, now, out);
+  if (requests_seen || this->all_models_filled(s)) {
+    this->stage_spares(s, requests_seen, now, out);
   }
-  this->warm_spares(s, loads_count, now, out);
-  this->clear_memberships(s, out);
+  this->warm_spares(s, requests_seen, now, out);
+  this->clear_stale_memberships(s, out);
   this->summarize(s, now, out);
 }
 
@@ -404,7 +405,7 @@
     for (const auto& id : hosts) {
       const server_track& track = s.track(id);
       if (now < track.staging_until) {
-        models[track.staging].loading++;
+        models[track.staging_model].loading++;
         continue;
       }
       for (const auto& staged : s.entry(id).staged) models[staged].idle++;
--- a/src/group-division.cc
+++ b/src/group-division.cc
@@ -11,14 +11,14 @@
 namespace {
 
 /// Demand is taken into the division this often.
-constexpr absl::Duration divide_period = absl::Seconds(1);
+constexpr absl::Duration allocation_period = absl::Seconds(1);
 
 /// A model that lacks groups for longer than this lacks hosts: a repair with
 /// hosts that hold the weights takes less.
-constexpr absl::Duration repair_time = absl::Seconds(4);
+constexpr absl::Duration max_repair_time = absl::Seconds(4);
 
 /// Part of a model's groups that give way at once; one domain's always may.
-constexpr double most_giving = 0.25;
+constexpr double max_reassigned_fraction = 0.25;
 
 std::string counts_text(const count_by_model& counts) {
   std::string out;
@@ -38,8 +38,9 @@
 }
 
 /// The log line of a change, made on words of this age.
-controller_note division_note(const std::string& service,
-                              const share_change& change, absl::Duration age) {
+controller_event allocation_event(const std::string& service,
+                                  const allocation_change& change,
+                                  absl::Duration age) {
   return {"hosts_divided", service,
           absl::StrCat("from ", counts_text(change.from), " to ",
                        counts_text(change.to), " for need ",
@@ -47,7 +48,7 @@
                        absl::FormatDuration(change.seen), " word_age ",
                        absl::FormatDuration(age), " gain ",
                        std::round(change.gain * 100) / 100, " least ",
-                       std::round(change.least_gain * 100) / 100)};
+                       std::round(change.min_gain * 100) / 100)};
 }
 
 }  // namespace
@@ -70,8 +71,9 @@
   int loads = 0;
 };
 
-host_room group_controller::room_of(const service_state& s) const {
-  host_room out;
+host_capacity group_controller::available_capacity(
+    const service_state& s) const {
+  host_capacity out;
   for (const auto& [domain, count] : s.usable_hosts) {
     const double spares = std::ceil(count * this->options.spare_share);
     out.domains.push_back(count - static_cast<int>(spares));
@@ -84,24 +86,26 @@
   return out;
 }
 
-group_controller::service_division& group_controller::division_of(
+group_controller::service_allocation& group_controller::allocation_of(
     const std::string& service) {
-  const auto [found, added] = this->divisions.try_emplace(
-      service, service_division{model_shares(this->options.division_rules),
-                                absl::InfinitePast()});
+  const auto [found, added] = this->allocations.try_emplace(
+      service, service_allocation{model_shares(this->options.reallocation),
+                                  absl::InfinitePast()});
   return found->second;
 }
 
-void group_controller::take_division(const std::vector<model_share>& known) {
+void group_controller::restore_allocation(
+    const std::vector<model_share>& known) {
   if (!this->options.follow_demand) return;
   for (const auto& said : known) {
-    this->division_of(said.service).shares.take_share(said.model, said.share);
+    this->allocation_of(said.service)
+        .shares.restore_share(said.model, said.share);
   }
 }
 
 std::vector<model_share> group_controller::shares() const {
   std::vector<model_share> out;
-  for (const auto& [service, known] : this->divisions) {
+  for (const auto& [service, known] : this->allocations) {
     for (const auto& [model, share] : known.shares.changed()) {
       out.push_back({service, model, share});
     }
@@ -109,17 +113,17 @@
   return out;
 }
 
-void group_controller::divide(const service_state& s, absl::Time now,
-                              group_actions& out) {
+void group_controller::update_allocation(const service_state& s, absl::Time now,
+                                         group_actions& out) {
   if (!this->options.follow_demand) return;
-  service_division& known = this->division_of(s.service);
-  if (now - known.at < divide_period) return;
+  service_allocation& known = this->allocation_of(s.service);
+  if (now - known.at < allocation_period) return;
   known.at = now;
-  known.shares.take_statement(*s.engine);
+  known.shares.sync_configured_shares(*s.engine);
   const bool whole = this->demand && this->demand->missing_halls == 0 &&
-                     now - this->demand_at < demand_table::word_time;
+                     now - this->demand_at < demand_table::report_ttl;
   if (!whole) {
-    known.shares.forget_seen();
+    known.shares.clear_samples();
     return;
   }
   count_by_model wanted;
@@ -132,38 +136,39 @@
     if (asked.service != s.service || model == nullptr) continue;
     need[model->name] = needed_groups(*s.engine, *model, asked);
   }
-  const auto change =
-      known.shares.take(*s.engine, this->room_of(s), wanted, need, now);
+  const auto change = known.shares.add_sample(
+      *s.engine, this->available_capacity(s), wanted, need, now);
   if (!change) return;
   const absl::Duration age = now - this->demand_at + this->demand->age;
-  out.notes.push_back(division_note(s.service, *change, age));
+  out.notes.push_back(allocation_event(s.service, *change, age));
 }
 
-int group_controller::lasting_lack(const service_state& s,
-                                   const model_profile& model, absl::Time now) {
+int group_controller::persistent_deficit(const service_state& s,
+                                         const model_profile& model,
+                                         absl::Time now) {
   const auto key = std::pair(s.service, model.name);
   const auto count = s.group_count.find(model.name);
   const int standing = count == s.group_count.end() ? 0 : count->second;
   const int lack = static_cast<int>(this->wanted_groups(s, model)) - standing;
   if (lack <= 0) {
-    this->lacking.erase(key);
+    this->lacking_since.erase(key);
     return 0;
   }
-  const absl::Time since = this->lacking.emplace(key, now).first->second;
-  return now - since < repair_time ? 0 : lack;
+  const absl::Time since = this->lacking_since.emplace(key, now).first->second;
+  return now - since < max_repair_time ? 0 : lack;
 }
 
-int group_controller::beyond_wanted(const service_state& s,
-                                    const model_profile& model) const {
+int group_controller::surplus_groups(const service_state& s,
+                                     const model_profile& model) const {
   const auto count = s.group_count.find(model.name);
   if (count == s.group_count.end()) return 0;
   return count->second - static_cast<int>(this->wanted_groups(s, model));
 }
 
-bool group_controller::may_end_now(
+bool group_controller::may_dissolve_now(
     const service_state& s, const std::vector<const group_view*>& ended) const {
   count_by_model out;
-  for (const auto& name : this->giving) out[group_model(name)]++;
+  for (const auto& name : this->reassigned_groups) out[group_model(name)]++;
   const count_by_model before = out;
   for (const group_view* group : ended) out[group->model]++;
   return std::all_of(out.begin(), out.end(), [&](const auto& item) {
@@ -171,32 +176,33 @@
     if (before.count(model) == 0) return true;
     const auto standing = s.group_count.find(model);
     if (standing == s.group_count.end()) return false;
-    return count <= most_giving * (standing->second + before.at(model));
+    return count <=
+           max_reassigned_fraction * (standing->second + before.at(model));
   });
 }
 
-bool group_controller::has_or_loads(const service_state& s,
-                                    const std::string& id,
-                                    const model_profile& model,
-                                    absl::Time now) const {
+bool group_controller::has_or_is_loading(const service_state& s,
+                                         const std::string& id,
+                                         const model_profile& model,
+                                         absl::Time now) const {
   const server_track& track = s.track(id);
-  if (now < track.staging_until) return track.staging == model.name;
+  if (now < track.staging_until) return track.staging_model == model.name;
   return !this->needs_load(s, id, model);
 }
 
 std::map<std::string, group_controller::domain_pool>
-group_controller::pools_for(const service_state& s,
-                            const model_profile& model) const {
+group_controller::domain_pools_for(const service_state& s,
+                                   const model_profile& model) const {
   std::map<std::string, domain_pool> out;
   for (const auto& [domain, hosts] : this->free_hosts(s)) {
     out[domain].hosts = hosts;
   }
   for (const auto& group : s.groups) {
     if (this->warmups.count(group.name) != 0) continue;
-    if (this->released.count(group.name) != 0) continue;
+    if (this->stopped_groups.count(group.name) != 0) continue;
     const bool sound = std::all_of(
         group.members.begin(), group.members.end(), [&](const auto& id) {
-          return !id.empty() && s.knows(id) && this->may_join(s.entry(id));
+          return !id.empty() && s.has_server(id) && this->may_join(s.entry(id));
         });
     if (!sound) continue;
     domain_pool& pool = out[s.entry(group.head()).domain];
@@ -220,7 +226,7 @@
     const count_by_model& left, absl::Time now) const {
   const auto size = static_cast<size_t>(model.group_size);
   const auto lacks = [&](const std::string& id) {
-    return this->has_or_loads(s, id, model, now) ? 0 : 1;
+    return this->has_or_is_loading(s, id, model, now) ? 0 : 1;
   };
   const auto cost = [&](const group_view& group) {
     int loads = 0;
@@ -254,29 +260,29 @@
   return plan;
 }
 
-void group_controller::give_way(service_state& s, absl::Time now,
-                                group_actions& out) {
+void group_controller::reassign_hosts(service_state& s, absl::Time now,
+                                      group_actions& out) {
   if (!this->options.follow_demand) return;
-  std::erase_if(this->giving, [&](const auto& name) {
+  std::erase_if(this->reassigned_groups, [&](const auto& name) {
     return std::none_of(s.groups.begin(), s.groups.end(), [&](const auto& g) {
-      return g.name == name && this->released.count(name) == 0;
+      return g.name == name && this->stopped_groups.count(name) == 0;
     });
   });
   for (const auto& model : s.engine->models) {
-    const int lack = this->lasting_lack(s, model, now);
-    if (lack > 0) this->give_way_to(s, model, lack, now, out);
+    const int lack = this->persistent_deficit(s, model, now);
+    if (lack > 0) this->reassign_hosts_to(s, model, lack, now, out);
   }
 }
 
-void group_controller::give_way_to(service_state& s, const model_profile& model,
-                                   int lack, absl::Time now,
-                                   group_actions& out) {
+void group_controller::reassign_hosts_to(service_state& s,
+                                         const model_profile& model, int lack,
+                                         absl::Time now, group_actions& out) {
   count_by_model left;
   for (const auto& other : s.engine->models) {
     if (other.name != model.name)
-      left[other.name] = this->beyond_wanted(s, other);
+      left[other.name] = this->surplus_groups(s, other);
   }
-  auto pools = this->pools_for(s, model);
+  auto pools = this->domain_pools_for(s, model);
   std::map<std::string, std::vector<move_plan>> by_domain;
   for (int i = 0; i < lack; ++i) {
     std::optional<move_plan> best;
@@ -302,14 +308,14 @@
     by_domain[best->domain].push_back(*best);
   }
   for (const auto& [domain, plans] : by_domain) {
-    this->carry_out_moves(s, model, plans, now, out);
+    this->execute_moves(s, model, plans, now, out);
   }
 }
 
-void group_controller::carry_out_moves(service_state& s,
-                                       const model_profile& model,
-                                       const std::vector<move_plan>& plans,
-                                       absl::Time now, group_actions& out) {
+void group_controller::execute_moves(service_state& s,
+                                     const model_profile& model,
+                                     const std::vector<move_plan>& plans,
+                                     absl::Time now, group_actions& out) {
   bool ready = true;
   for (const auto& plan : plans) {
     for (const auto& id : plan.members) {
@@ -323,9 +329,9 @@
   for (const auto& plan : plans) {
     ended.insert(ended.end(), plan.ended.begin(), plan.ended.end());
   }
-  if (!ready || !this->may_end_now(s, ended)) return;
+  if (!ready || !this->may_dissolve_now(s, ended)) return;
   for (const group_view* group : ended) {
-    this->giving.insert(group->name);
+    this->reassigned_groups.insert(group->name);
     s.group_count[group->model]--;
     s.spare_groups.erase(group->name);
     this->dissolve(s, *group, "its hosts go to " + model.name, now, out);
--- a/src/group-formation.cc
+++ b/src/group-formation.cc
@@ -18,28 +18,30 @@
 
 /// Before there are requests, groups are formed once no server has come or
 /// gone for this long, so that all of them are there to choose from.
-constexpr absl::Duration settle_time = absl::Milliseconds(600);
+constexpr absl::Duration stable_time = absl::Milliseconds(600);
 
 }  // namespace
 
-bool group_controller::settled(const service_state& s, absl::Time now) {
-  settling& known = this->settlings[s.service];
+bool group_controller::server_count_stable(const service_state& s,
+                                           absl::Time now) {
+  server_count_record& known = this->server_counts[s.service];
   if (s.servers.size() != known.servers) known = {s.servers.size(), now};
-  return now - known.since >= settle_time;
+  return now - known.since >= stable_time;
 }
 
 bool group_controller::free_to_join(const service_state& s,
                                     const server_entry& entry) const {
   const server_track& track = s.track(entry.id);
-  if (entry.draining || track.silent || track.pending || !track.orders_taken) {
+  if (entry.draining || track.silent || track.pending ||
+      !track.orders_started) {
     return false;
   }
-  if (this->questions.asks(entry.id)) return false;
-  if (s.index.at(entry.id).listed->lapses_at != absl::InfinitePast())
+  if (this->pending_probes.asks(entry.id)) return false;
+  if (s.index.at(entry.id).listed->expires_at != absl::InfinitePast())
     return false;
   const group_membership& said = entry.membership;
   return said.phase == member_phase::none ||
-         this->released.count(said.group) != 0;
+         this->stopped_groups.count(said.group) != 0;
 }
 
 absl::Duration group_controller::join_time(const service_state& s,
@@ -49,7 +51,7 @@
   const server_track& track = s.track(server);
   if (this->last_ran(s, server, model)) return rejoin_time;
   if (staged_on(s.entry(server), model)) return model.staged_load;
-  if (track.staging == model.name && now < track.staging_until) {
+  if (track.staging_model == model.name && now < track.staging_until) {
     return track.staging_until - now + model.staged_load;
   }
   return model.cold_load;
@@ -91,31 +93,33 @@
   for (const auto& [domain, count] : s.usable_hosts) {
     used += count - std::ceil(count * this->options.spare_share);
   }
-  const auto found = this->divisions.find(s.service);
-  const double share = found == this->divisions.end()
+  const auto found = this->allocations.find(s.service);
+  const double share = found == this->allocations.end()
                            ? model.share
                            : found->second.shares.share(model);
   return std::max(1.0, std::round(used * share / model.group_size));
 }
 
-double group_controller::fill_of(const service_state& s,
-                                 const model_profile& model) const {
+double group_controller::fill_ratio(const service_state& s,
+                                    const model_profile& model) const {
   const auto count = s.group_count.find(model.name);
   return (count == s.group_count.end() ? 0 : count->second) /
          this->wanted_groups(s, model);
 }
 
-bool group_controller::all_filled(const service_state& s) const {
+bool group_controller::all_models_filled(const service_state& s) const {
   return std::all_of(
       s.engine->models.begin(), s.engine->models.end(),
-      [&](const auto& model) { return this->fill_of(s, model) >= 1; });
+      [&](const auto& model) { return this->fill_ratio(s, model) >= 1; });
 }
 
-std::optional<group_controller::formation> group_controller::best_formation(
-    const service_state& s, const model_profile& model,
-    const hosts_by_domain& free, absl::Time now) const {
+std::optional<group_controller::group_candidate>
+group_controller::best_candidate(const service_state& s,
+                                 const model_profile& model,
+                                 const hosts_by_domain& free,
+                                 absl::Time now) const {
   const auto size = static_cast<size_t>(model.group_size);
-  std::optional<formation> best;
+  std::optional<group_candidate> best;
   for (const auto& [domain, ids] : free) {
     if (ids.size() < size) continue;
     std::vector<std::string> sorted = ids;
@@ -124,7 +128,7 @@
                        return this->join_time(s, a, model, now) <
                               this->join_time(s, b, model, now);
                      });
-    formation f;
+    group_candidate f;
     f.model = &model;
     f.domain = domain;
     f.members.assign(sorted.begin(),
@@ -136,12 +140,12 @@
       f.slowest = std::max(f.slowest, time);
       if (this->needs_load(s, id, model)) f.loads++;
       const group_membership& said = s.entry(id).membership;
-      if (said.phase != member_phase::none && this->stays(said.group)) {
+      if (said.phase != member_phase::none && this->remains(said.group)) {
         ended.insert(said.group);
       }
     }
     f.ended = static_cast<int>(ended.size());
-    const auto order = [](const formation& x) {
+    const auto order = [](const group_candidate& x) {
       return std::tuple(x.loads, x.ended, x.slowest, -static_cast<int>(x.left));
     };
     if (!best || order(f) < order(*best)) best = f;
@@ -151,17 +155,17 @@
 
 const model_profile* group_controller::next_model(
     const service_state& s, const std::set<std::string>& passed_over,
-    bool loads_count) const {
+    bool requests_seen) const {
   // At first the largest groups are placed, since they fit into the fewest
   // places; later the model that lacks most goes first.
   const model_profile* next = nullptr;
   double least = 1;
   for (const auto& model : s.engine->models) {
-    const double fill = this->fill_of(s, model);
+    const double fill = this->fill_ratio(s, model);
     if (fill >= 1 || passed_over.count(model.name) != 0) continue;
     const bool larger = next != nullptr && model.group_size > next->group_size;
     const bool better =
-        next == nullptr || (loads_count ? fill < least : larger);
+        next == nullptr || (requests_seen ? fill < least : larger);
     if (!better) continue;
     next = &model;
     least = fill;
@@ -169,16 +173,16 @@
   return next;
 }
 
-void group_controller::form_groups(service_state& s, bool loads_count,
+void group_controller::form_groups(service_state& s, bool requests_seen,
                                    absl::Time now, group_actions& out) {
   auto free = this->free_hosts(s);
   std::set<std::string> passed_over;
   while (const model_profile* model =
-             this->next_model(s, passed_over, loads_count)) {
-    const auto best = this->best_formation(s, *model, free, now);
+             this->next_model(s, passed_over, requests_seen)) {
+    const auto best = this->best_candidate(s, *model, free, now);
     const bool at_once = best && best->loads == 0;
-    if (loads_count && !at_once &&
-        this->take_back_spares(s, *model, free, now, out)) {
+    if (requests_seen && !at_once &&
+        this->reclaim_spares(s, *model, free, now, out)) {
       passed_over.insert(model->name);
       continue;
     }
@@ -188,7 +192,7 @@
     }
     // Before there are requests a load is quick and free. Later, hosts are
     // staged first, so that they stay of use to any repair meanwhile.
-    if (loads_count && best->loads > 0) {
+    if (requests_seen && best->loads > 0) {
       this->stage_for(s, *best, now, out);
       passed_over.insert(model->name);
     } else {
@@ -217,7 +221,7 @@
   }
   const std::string name = group_name(model.name, epoch);
   this->plans[name] = {s.service, model.name, epoch, members,
-                       now + slowest + this->options.form_slack};
+                       now + slowest + this->options.formation_slack};
   s.group_count[model.name]++;
   out.notes.push_back(
       {"group_forming", name,
@@ -228,7 +232,7 @@
                                 const group_plan& plan) const {
   return std::all_of(plan.members.begin(), plan.members.end(),
                      [&](const auto& id) {
-                       return s.knows(id) && this->may_join(s.entry(id));
+                       return s.has_server(id) && this->may_join(s.entry(id));
                      });
 }
 
@@ -239,8 +243,9 @@
     if (plan.service != s.service) continue;
     const bool sound = this->may_form(s, plan);
     if (!sound) failed.push_back(name);
-    if (!sound || now >= plan.give_up_at) continue;
-    group_order join = order_about(group_order_kind::join, name, plan.epoch);
+    if (!sound || now >= plan.deadline) continue;
+    group_order join =
+        make_group_order(group_order_kind::join, name, plan.epoch);
     join.model = plan.model;
     join.members = plan.members;
     for (const auto& id : plan.members) {
--- a/src/group-repair.cc
+++ b/src/group-repair.cc
@@ -10,7 +10,7 @@
 
 /// How long an incomplete group of an earlier holder may still form. Its
 /// members may have orders on their way.
-constexpr absl::Duration inherited_wait = absl::Milliseconds(2500);
+constexpr absl::Duration inherited_group_grace = absl::Milliseconds(2500);
 
 /// Whether a head in this phase serves, or may still come to.
 bool phase_may_serve(member_phase phase) {
@@ -19,15 +19,16 @@
 }
 
 /// Whether a head in this phase has requests running.
-bool phase_runs(member_phase phase) {
+bool has_running_requests(member_phase phase) {
   return phase == member_phase::open || phase == member_phase::closing;
 }
 
 }  // namespace
 
-void group_controller::judge_group(service_state& s, const group_view& group,
-                                   absl::Time now, group_actions& out) {
-  if (this->released.count(group.name) != 0) return;
+void group_controller::reconcile_group(service_state& s,
+                                       const group_view& group, absl::Time now,
+                                       group_actions& out) {
+  if (this->stopped_groups.count(group.name) != 0) return;
   if (this->dissolving.count(group.name) != 0) {
     this->dissolve(s, group, "", now, out);
     return;
@@ -40,9 +41,9 @@
   // Until its hall is open again it is of no use to anybody.
   if (this->in_closed_hall(s, group)) return;
   s.group_count[group.model]++;
-  if (group.whole && group.head_phase == member_phase::ready) {
+  if (group.all_ready && group.head_phase == member_phase::ready) {
     const group_order open =
-        order_about(group_order_kind::open, group.name, group.epoch);
+        make_group_order(group_order_kind::open, group.name, group.epoch);
     this->send(s.entry(group.head()), open, out);
   }
 }
@@ -53,18 +54,18 @@
   if (model == nullptr) return "model is not configured";
   if (group.head_phase == member_phase::broken) return "head is broken";
   if (auto lost = this->reason_member_lost(s, group, now)) return lost;
-  if (group.whole) {
+  if (group.all_ready) {
     this->incomplete.erase(group.name);
     return std::nullopt;
   }
-  if (phase_runs(group.head_phase)) return "not whole although open";
+  if (has_running_requests(group.head_phase)) return "not whole although open";
   const auto plan = this->plans.find(group.name);
   if (plan != this->plans.end()) {
-    if (now < plan->second.give_up_at) return std::nullopt;
+    if (now < plan->second.deadline) return std::nullopt;
     return "did not form in time";
   }
   const auto since = this->incomplete.emplace(group.name, now).first->second;
-  if (now - since < inherited_wait) return std::nullopt;
+  if (now - since < inherited_group_grace) return std::nullopt;
   return "left incomplete by an earlier holder";
 }
 
@@ -75,24 +76,25 @@
       plan == this->plans.end() ? group.members : plan->second.members;
   for (const auto& id : members) {
     if (id.empty()) continue;
-    if (!s.knows(id)) return absl::StrCat(id, " is gone");
+    if (!s.has_server(id)) return absl::StrCat(id, " is gone");
     const server_entry& entry = s.entry(id);
-    if (entry.draining && this->serves_on(s, group, id, now)) continue;
+    if (entry.draining && this->may_keep_serving(s, group, id, now)) continue;
     if (entry.draining) return absl::StrCat(id, " is leaving");
     if (!this->usable(entry)) return absl::StrCat(id, " does not answer");
   }
   return std::nullopt;
 }
 
-bool group_controller::serves_on(const service_state& s,
-                                 const group_view& group,
-                                 const std::string& leaving,
-                                 absl::Time now) const {
+bool group_controller::may_keep_serving(const service_state& s,
+                                        const group_view& group,
+                                        const std::string& leaving,
+                                        absl::Time now) const {
   if (group.head_phase != member_phase::open || leaving == group.head()) {
     return false;
   }
   const server_track& track = s.track(leaving);
-  return !track.silent && now - track.leaving_since < this->options.leave_hold;
+  return !track.silent &&
+         now - track.leaving_since < this->options.leaving_member_grace;
 }
 
 void group_controller::dissolve(const service_state& s, const group_view& group,
@@ -104,70 +106,71 @@
     this->plans.erase(group.name);
   }
   const std::string& head = group.head();
-  const bool head_known = !head.empty() && s.knows(head);
+  const bool head_known = !head.empty() && s.has_server(head);
   if (head_known && group.head_phase == member_phase::broken) {
-    this->released.insert(group.name);
+    this->stopped_groups.insert(group.name);
     return;
   }
   if (head_known && !s.track(head).silent) {
-    this->end_by_head(s, group, since->second, now, out);
+    this->dissolve_through_head(s, group, since->second, now, out);
     return;
   }
-  this->free_survivors(s, group, out);
+  this->release_members(s, group, out);
 }
 
-void group_controller::end_by_head(const service_state& s,
-                                   const group_view& group, absl::Time since,
-                                   absl::Time now, group_actions& out) {
+void group_controller::dissolve_through_head(const service_state& s,
+                                             const group_view& group,
+                                             absl::Time since, absl::Time now,
+                                             group_actions& out) {
   const server_entry& head = s.entry(group.head());
   const member_phase phase = head.membership.phase;
   if (!phase_may_serve(phase)) {
-    this->released.insert(group.name);
+    this->stopped_groups.insert(group.name);
     return;
   }
   // Only a group whose members all answer can end its streams.
   const bool all_answer = std::all_of(
       group.members.begin(), group.members.end(), [&](const auto& id) {
-        return !id.empty() && s.knows(id) && !s.track(id).silent;
+        return !id.empty() && s.has_server(id) && !s.track(id).silent;
       });
-  const absl::Duration wait = this->giving.count(group.name) != 0
-                                  ? this->options.give_way_drain
-                                  : this->options.drain_wait;
-  if (all_answer && phase_runs(phase) && now - since < wait) {
+  const absl::Duration wait = this->reassigned_groups.count(group.name) != 0
+                                  ? this->options.reassign_drain_timeout
+                                  : this->options.drain_timeout;
+  if (all_answer && has_running_requests(phase) && now - since < wait) {
     if (phase == member_phase::closing) return;
     const group_order close =
-        order_about(group_order_kind::close, group.name, group.epoch);
+        make_group_order(group_order_kind::close, group.name, group.epoch);
     this->send(head, close, out);
     return;
   }
   const group_order leave =
-      order_about(group_order_kind::leave, group.name, group.epoch);
+      make_group_order(group_order_kind::leave, group.name, group.epoch);
   if (this->send(head, leave, out)) {
-    this->tracks[head.id].leads = group.name;
+    this->tracks[head.id].leaving_group = group.name;
   }
 }
 
-void group_controller::free_survivors(const service_state& s,
-                                      const group_view& group,
-                                      group_actions& out) {
+void group_controller::release_members(const service_state& s,
+                                       const group_view& group,
+                                       group_actions& out) {
   const group_order leave =
-      order_about(group_order_kind::leave, group.name, group.epoch);
+      make_group_order(group_order_kind::leave, group.name, group.epoch);
   for (size_t rank = 1; rank < group.members.size(); ++rank) {
     const std::string& id = group.members[rank];
-    if (id.empty() || !s.knows(id) || s.track(id).silent) continue;
+    if (id.empty() || !s.has_server(id) || s.track(id).silent) continue;
     this->send(s.entry(id), leave, out);
   }
 }
 
-void group_controller::clear_memberships(const service_state& s,
-                                         group_actions& out) {
+void group_controller::clear_stale_memberships(const service_state& s,
+                                               group_actions& out) {
   const auto planned = this->planned_models();
   for (const auto& [id, server] : s.servers) {
     const group_membership& said = server.entry.membership;
     if (said.phase == member_phase::none || planned.count(id) != 0) continue;
     if (!this->free_to_join(s, server.entry)) continue;
     const group_order leave =
-        order_about(group_order_kind::leave, said.group, said.epoch);
+        make_group_order(group_order_kind::leave, said.group, said.epoch);
     this->send(server.entry, leave, out);
   }
 }
--- a/src/group-spares.cc
+++ b/src/group-spares.cc
@@ -12,7 +12,7 @@
 
 namespace spokesail {
 
-std::vector<std::string> group_controller::most_useful_to_repairs(
+std::vector<std::string> group_controller::groups_by_repair_value(
     const service_state& s, const model_profile& model) const {
   // Those whose hosts hold the weights of another model come first; of the
   // others, the newest.
@@ -24,7 +24,7 @@
     if (this->in_closed_hall(s, group)) continue;
     const auto others = std::count_if(
         group.members.begin(), group.members.end(), [&](const auto& id) {
-          return s.knows(id) && !staged_on(s.entry(id), model);
+          return s.has_server(id) && !staged_on(s.entry(id), model);
         });
     ranked.emplace_back(others, group.epoch, group.name);
   }
@@ -45,61 +45,62 @@
     const int wanted = static_cast<int>(this->wanted_groups(s, model));
     const auto beyond =
         static_cast<size_t>(std::max(0, count->second - wanted));
-    std::vector<std::string> names = this->most_useful_to_repairs(s, model);
+    std::vector<std::string> names = this->groups_by_repair_value(s, model);
     if (names.size() > beyond) names.resize(beyond);
     out.insert(names.begin(), names.end());
   }
   return out;
 }
 
-model_standing group_controller::standing_of(const service_state& s,
-                                             const model_profile& model) const {
-  model_standing out;
+model_group_counts group_controller::group_counts_of(
+    const service_state& s, const model_profile& model) const {
+  model_group_counts out;
   const auto count = s.group_count.find(model.name);
   if (count != s.group_count.end()) out.groups = count->second;
   out.wanted = this->wanted_groups(s, model);
   return out;
 }
 
-bool group_controller::stays(const std::string& group) const {
-  return this->released.count(group) == 0 && this->dissolving.count(group) == 0;
+bool group_controller::remains(const std::string& group) const {
+  return this->stopped_groups.count(group) == 0 &&
+         this->dissolving.count(group) == 0;
 }
 
-group_controller::endable_groups group_controller::groups_to_end(
+group_controller::dissolvable_groups group_controller::find_dissolvable_groups(
     const service_state& s, const model_profile& model) const {
-  endable_groups out{s.spare_groups};
-  const model_standing taker = this->standing_of(s, model);
+  dissolvable_groups out{s.spare_groups};
+  const model_group_counts taker = this->group_counts_of(s, model);
   for (const auto& other : s.engine->models) {
     // A larger group is worth more than the smaller one that it would repair.
     if (other.group_size >= model.group_size) continue;
-    const model_standing giver = this->standing_of(s, other);
+    const model_group_counts giver = this->group_counts_of(s, other);
     const int needed = (model.group_size - 1) / other.group_size + 1;
     int count = 0;
-    while (this->yields() && count < needed &&
+    while (this->yielding_enabled() && count < needed &&
            may_yield(giver, taker, count + 1)) {
       ++count;
     }
     if (count == 0) continue;
     out.beyond_spares += count;
-    const auto names = this->most_useful_to_repairs(s, other);
+    const auto names = this->groups_by_repair_value(s, other);
     out.names.insert(names.begin(), names.end());
   }
   return out;
 }
 
-group_controller::hosts_by_domain group_controller::hosts_in_reach(
+group_controller::hosts_by_domain group_controller::reclaimable_hosts(
     const service_state& s, const model_profile& model,
     const hosts_by_domain& free, const std::set<std::string>& to_end) const {
   hosts_by_domain reach = free;
   const auto add = [&](bool on_their_way_out) {
     for (const auto& group : s.groups) {
       if (std::cmp_greater(group.members.size(), model.group_size)) continue;
-      if (this->released.count(group.name) != 0) continue;
+      if (this->stopped_groups.count(group.name) != 0) continue;
       const bool out = this->dissolving.count(group.name) != 0;
       if (out != on_their_way_out) continue;
       if (!out && to_end.count(group.name) == 0) continue;
       for (const auto& id : group.members) {
-        if (id.empty() || !s.knows(id) || !this->may_join(s.entry(id)))
+        if (id.empty() || !s.has_server(id) || !this->may_join(s.entry(id)))
           continue;
         reach[s.entry(id).domain].push_back(id);
       }
@@ -112,20 +113,20 @@
   return reach;
 }
 
-bool group_controller::take_back_spares(service_state& s,
-                                        const model_profile& model,
-                                        hosts_by_domain& free, absl::Time now,
-                                        group_actions& out) {
+bool group_controller::reclaim_spares(service_state& s,
+                                      const model_profile& model,
+                                      hosts_by_domain& free, absl::Time now,
+                                      group_actions& out) {
   if (!this->options.spares_serve) return false;
-  const endable_groups endable = this->groups_to_end(s, model);
-  const auto reach = this->hosts_in_reach(s, model, free, endable.names);
-  const auto best = this->best_formation(s, model, reach, now);
+  const dissolvable_groups endable = this->find_dissolvable_groups(s, model);
+  const auto reach = this->reclaimable_hosts(s, model, free, endable.names);
+  const auto best = this->best_candidate(s, model, reach, now);
   if (!best || best->loads > 0) return false;
   std::set<std::string> ended;
   for (const auto& id : best->members) {
     const std::string& group = s.entry(id).membership.group;
-    const bool stays = this->stays(group);
-    if (stays && endable.names.count(group) != 0) ended.insert(group);
+    const bool remains = this->remains(group);
+    if (remains && endable.names.count(group) != 0) ended.insert(group);
   }
   const auto serving = std::count_if(
       ended.begin(), ended.end(),
@@ -157,7 +158,7 @@
         if (!this->needs_load(s, id, model)) members.push_back(id);
       }
       const auto size = static_cast<size_t>(model.group_size);
-      if (this->fill_of(s, model) < 1 || members.size() < size) continue;
+      if (this->fill_ratio(s, model) < 1 || members.size() < size) continue;
       members.resize(size);
       this->form_group(s, model, members, now, out);
       std::erase_if(left, [&](const auto& id) {
--- a/src/group-staging.cc
+++ b/src/group-staging.cc
@@ -12,7 +12,7 @@
 
 /// What a model counts as in a domain where it has no member, in members for
 /// each whole share, so that a group of it may form there.
-constexpr double members_of_absent = 0.5;
+constexpr double absent_model_members = 0.5;
 
 /// How much less each further spare of a model is needed. A first one stands
 /// for the next loss among the members; each further one only for a loss that
@@ -21,7 +21,7 @@
 constexpr double spare_exponent = 1.5;
 
 /// What stands for the spares of a group that lacks hosts to form.
-constexpr double no_spares = 0.1;
+constexpr double min_coverage = 0.1;
 
 /// A spare changes its weights only for a model that needs them this many
 /// times as much, since it is of no use while it loads.
@@ -33,7 +33,7 @@
 /// come back from a restart without those of the model that they served: with
 /// all of them holding the larger model's, smaller groups were missing after a
 /// release instead.
-constexpr double yielding_share = 0.5;
+constexpr double yield_spare_ratio = 0.5;
 
 /// The model whose groups need the fewest hosts; null if there is none.
 const model_profile* smallest_model(const engine_profile& engine) {
@@ -44,8 +44,8 @@
 }
 
 /// How much a model needs one more spare in a domain.
-double need_of(double members, int spares) {
-  const double covered = std::max(no_spares, 1.0 + spares);
+double weighted_need(double members, int spares) {
+  const double covered = std::max(min_coverage, 1.0 + spares);
   return members / std::pow(covered, spare_exponent);
 }
 
@@ -59,7 +59,7 @@
   /// zero for a group that lacks hosts to form.
   std::map<std::string, int> spares;
   /// Free hosts that hold weights, and which.
-  std::map<std::string, std::string> holders;
+  std::map<std::string, std::string> weight_holders;
   /// Those of them that serve as spares with these very weights, which they
   /// need not keep on the host to join again.
   std::set<std::string> rejoining;
@@ -78,7 +78,7 @@
   for (const auto& staged : entry.staged) {
     if (staged != model) weights.spares[staged]++;
     if (loading) continue;
-    weights.holders[entry.id] = staged;
+    weights.weight_holders[entry.id] = staged;
     if (staged == model) weights.rejoining.insert(entry.id);
   }
 }
@@ -120,7 +120,8 @@
   this->loads.insert(this->loads.begin(), static_cast<size_t>(count), now);
 }
 
-int group_controller::loads_left(const engine_profile& engine, absl::Time now) {
+int group_controller::remaining_loads(const engine_profile& engine,
+                                      absl::Time now) {
   this->count_earlier_loads(engine, now);
   const absl::Time since = now - this->options.load_window;
   while (!this->loads.empty() && this->loads.front() < since) {
@@ -133,8 +134,9 @@
          static_cast<int>(this->loads.size());
 }
 
-void group_controller::stage_for(const service_state& s, const formation& f,
-                                 absl::Time now, group_actions& out) {
+void group_controller::stage_for(const service_state& s,
+                                 const group_candidate& f, absl::Time now,
+                                 group_actions& out) {
   for (const auto& id : f.members) {
     if (!this->needs_load(s, id, *f.model)) continue;
     this->stage(s, id, *f.model, true, now, out);
@@ -142,18 +144,18 @@
 }
 
 bool group_controller::stage(const service_state& s, const std::string& id,
-                             const model_profile& model, bool loads_count,
+                             const model_profile& model, bool requests_seen,
                              absl::Time now, group_actions& out) {
   // An earlier holder may have told it to load; it is not disturbed.
   if (s.track(id).order_running) return false;
   if (now < s.track(id).staging_until) return false;
-  if (loads_count && this->loads_left(*s.engine, now) <= 0) return false;
+  if (requests_seen && this->remaining_loads(*s.engine, now) <= 0) return false;
   group_order order;
   order.kind = group_order_kind::stage;
   order.model = model.name;
   if (!this->send(s.entry(id), order, out)) return false;
   server_track& track = this->tracks[id];
-  track.staging = model.name;
+  track.staging_model = model.name;
   track.staging_until = now + model.cold_load + stage_slack;
   this->loads.push_back(now);
   out.notes.push_back({"host_staging", id, model.name});
@@ -173,31 +175,33 @@
     domain_weights& weights = domains[entry.domain];
     const group_membership& said = entry.membership;
     if (s.spare_groups.count(said.group) != 0) {
-      count_serving_spare(entry, track.staging_until > now, track.staging,
+      count_serving_spare(entry, track.staging_until > now, track.staging_model,
                           weights);
     } else if (said.phase != member_phase::none &&
-               this->released.count(said.group) == 0 &&
+               this->stopped_groups.count(said.group) == 0 &&
                this->warmups.count(said.group) == 0) {
       this->count_member(entry, track, now, weights);
     } else if (const auto plan = planned.find(id); plan != planned.end()) {
       weights.members[std::string(plan->second)]++;
     } else if (now < track.staging_until) {
-      weights.spares[track.staging]++;
+      weights.spares[track.staging_model]++;
     } else {
       for (const auto& staged : entry.staged) weights.spares[staged]++;
       if (!this->free_to_join(s, entry)) continue;
       if (entry.staged.empty()) bare.push_back(id);
-      for (const auto& staged : entry.staged) weights.holders[id] = staged;
+      for (const auto& staged : entry.staged)
+        weights.weight_holders[id] = staged;
     }
   }
-  for (auto& [domain, weights] : domains) this->expect_groups(s, weights);
+  for (auto& [domain, weights] : domains)
+    this->count_expected_groups(s, weights);
   return domains;
 }
 
-void group_controller::expect_groups(const service_state& s,
-                                     domain_weights& weights) const {
+void group_controller::count_expected_groups(const service_state& s,
+                                             domain_weights& weights) const {
   for (const auto& model : s.engine->models) {
-    if (this->fill_of(s, model) >= 1) continue;
+    if (this->fill_ratio(s, model) >= 1) continue;
     int& spares = weights.spares[model.name];
     // Fewer are rather what a repair elsewhere has left.
     if (2 * spares < model.group_size) continue;
@@ -211,7 +215,7 @@
   const model_profile* best = nullptr;
   double best_need = -1;
   for (const auto& model : engine.models) {
-    const double need = model_need(model, weights, 0);
+    const double need = spare_need(model, weights, 0);
     if (need <= best_need) continue;
     best = &model;
     best_need = need;
@@ -219,14 +223,14 @@
   return best;
 }
 
-double group_controller::model_need(const model_profile& model,
+double group_controller::spare_need(const model_profile& model,
                                     domain_weights& weights, int fewer) {
   const double members =
-      weights.members[model.name] + members_of_absent * model.share;
-  return need_of(members, weights.spares[model.name] - fewer);
+      weights.members[model.name] + absent_model_members * model.share;
+  return weighted_need(members, weights.spares[model.name] - fewer);
 }
 
-void group_controller::stage_spares(const service_state& s, bool loads_count,
+void group_controller::stage_spares(const service_state& s, bool requests_seen,
                                     absl::Time now, group_actions& out) {
   std::vector<std::string> bare;
   auto domains = this->weights_by_domain(s, now, bare);
@@ -234,29 +238,29 @@
     domain_weights& weights = domains[s.entry(id).domain];
     // Before there are requests a load is quick, so that a spare first gets
     // into a group and is then staged for repairs.
-    const bool serves_first = this->options.spares_serve && !loads_count;
+    const bool serves_first = this->options.spares_serve && !requests_seen;
     const model_profile* model = serves_first
                                      ? smallest_model(*s.engine)
                                      : model_to_stage(*s.engine, weights);
     if (model == nullptr) return;
-    if (!this->stage(s, id, *model, loads_count, now, out)) continue;
+    if (!this->stage(s, id, *model, requests_seen, now, out)) continue;
     weights.spares[model->name]++;
   }
-  if (!loads_count && !this->options.spares_serve) return;
+  if (!requests_seen && !this->options.spares_serve) return;
   for (auto& [domain, weights] : domains) {
     this->restage_spare(s, weights, now, out);
-    if (!loads_count) this->stage_members(s, weights, now, out);
+    if (!requests_seen) this->stage_members(s, weights, now, out);
   }
 }
 
 void group_controller::stage_members(const service_state& s,
                                      domain_weights& weights, absl::Time now,
                                      group_actions& out) {
-  if (!this->yields()) return;
+  if (!this->yielding_enabled()) return;
   const model_profile* small = smallest_model(*s.engine);
   for (const auto& model : s.engine->models) {
     if (small == nullptr || model.group_size <= small->group_size) continue;
-    auto enough = static_cast<int>(yielding_share * model.group_size);
+    auto enough = static_cast<int>(yield_spare_ratio * model.group_size);
     for (const auto& [id, held] : weights.serving) {
       if (weights.spares[model.name] >= enough) break;
       if (held != small->name) continue;
@@ -271,14 +275,14 @@
                                      group_actions& out) {
   const model_profile* wanted = model_to_stage(*s.engine, weights);
   if (wanted == nullptr) return;
-  const double need = model_need(*wanted, weights, 0);
-  for (const auto& [id, held] : weights.holders) {
+  const double need = spare_need(*wanted, weights, 0);
+  for (const auto& [id, held] : weights.weight_holders) {
     // What a group that is about to form needs stays.
     if (this->options.follow_demand && s.reserved.count(id) != 0) continue;
     const model_profile* model = find_model(*s.engine, held);
     if (model == wanted) continue;
     const bool spared = model == nullptr || weights.rejoining.count(id) != 0 ||
-                        need > restage_factor * model_need(*model, weights, 1);
+                        need > restage_factor * spare_need(*model, weights, 1);
     if (!spared) continue;
     // One at a time: the next step sees what this one changes.
     if (this->stage(s, id, *wanted, true, now, out)) return;
--- a/src/group-state.h
+++ b/src/group-state.h
@@ -44,7 +44,9 @@
   const server_track& track(const std::string& id) const {
     return *this->index.at(id).track;
   }
-  bool knows(const std::string& id) const { return this->index.contains(id); }
+  bool has_server(const std::string& id) const {
+    return this->index.contains(id);
+  }
 };
 
 /// Whether a model's weights lie on a server's host.
@@ -57,8 +59,8 @@
 }
 
 /// An order about a group, without what only a join says.
-inline group_order order_about(group_order_kind kind, const std::string& group,
-                               int64_t epoch) {
+inline group_order make_group_order(group_order_kind kind,
+                                    const std::string& group, int64_t epoch) {
   group_order order;
   order.kind = kind;
   order.group = group;
--- a/src/group-warming.cc
+++ b/src/group-warming.cc
@@ -7,7 +7,7 @@
 /// Hosts of one domain that warm up at once while there are requests: one that
 /// does is of no use to a repair for as long as its model takes to load from
 /// the host, one to two seconds.
-constexpr size_t most_warming = 2;
+constexpr size_t max_warming_hosts = 2;
 
 /// What a host may take beyond the time its load from the host needs.
 constexpr absl::Duration warm_slack = absl::Seconds(2);
@@ -18,7 +18,7 @@
     const service_state& s) const {
   std::map<std::string, size_t> out;
   for (const auto& [name, warmup] : this->warmups) {
-    if (s.knows(warmup.server)) out[s.entry(warmup.server).domain]++;
+    if (s.has_server(warmup.server)) out[s.entry(warmup.server).domain]++;
   }
   return out;
 }
@@ -42,8 +42,8 @@
   const auto size = static_cast<size_t>(model->group_size);
   if (domain_hosts.size() < size) return;
   const int64_t epoch = this->next_epoch();
-  group_order join = order_about(group_order_kind::join,
-                                 group_name(model->name, epoch), epoch);
+  group_order join = make_group_order(group_order_kind::join,
+                                      group_name(model->name, epoch), epoch);
   join.model = model->name;
   join.members = {id};
   for (const auto& other : domain_hosts) {
@@ -56,10 +56,10 @@
   out.notes.push_back({"host_warming", id, model->name});
 }
 
-void group_controller::warm_spares(const service_state& s, bool loads_count,
+void group_controller::warm_spares(const service_state& s, bool requests_seen,
                                    absl::Time now, group_actions& out) {
   std::erase_if(this->warmups, [&](const auto& item) {
-    return item.second.give_up_at <= now || !s.knows(item.second.server);
+    return item.second.deadline <= now || !s.has_server(item.second.server);
   });
   if (!this->options.warm_spares) return;
   auto warming = this->warming_by_domain(s);
@@ -69,7 +69,7 @@
   }
   for (const auto& [domain, free] : this->free_hosts(s)) {
     for (const auto& id : free) {
-      if (loads_count && warming[domain] >= most_warming) break;
+      if (requests_seen && warming[domain] >= max_warming_hosts) break;
       if (!this->may_warm(s, id, now)) continue;
       this->warm_host(s, id, hosts[domain], now, out);
       warming[domain]++;
@@ -82,8 +82,9 @@
   if (group.head_phase != member_phase::ready) return;
   const server_entry& host = s.entry(group.head());
   const group_order leave =
-      order_about(group_order_kind::leave, group.name, group.epoch);
-  if (this->send(host, leave, out)) this->tracks[host.id].leads = group.name;
+      make_group_order(group_order_kind::leave, group.name, group.epoch);
+  if (this->send(host, leave, out))
+    this->tracks[host.id].leaving_group = group.name;
 }
 
 }  // namespace spokesail
--- a/src/hall-evacuations.cc
+++ b/src/hall-evacuations.cc
@@ -18,37 +18,37 @@
 
 }  // namespace
 
-evacuation_change hall_evacuations::take(const evacuation_word& word,
-                                         absl::Time as_of, absl::Time now) {
+evacuation_change hall_evacuations::apply(const evacuation_snapshot& snapshot,
+                                          absl::Time as_of, absl::Time now) {
   // Who knows a later revision knows all that the earlier one's proof is about.
-  this->proved = std::max(this->proved, as_of - word.age);
-  if (this->learned && word.revision <= this->revision) return {};
-  evacuation_change change = {without(word.halls, this->halls),
-                              without(this->halls, word.halls)};
+  this->last_verified = std::max(this->last_verified, as_of - snapshot.age);
+  if (this->learned && snapshot.revision <= this->revision) return {};
+  evacuation_change change = {without(snapshot.halls, this->halls),
+                              without(this->halls, snapshot.halls)};
   this->learned = true;
-  this->revision = word.revision;
-  this->halls = word.halls;
+  this->revision = snapshot.revision;
+  this->halls = snapshot.halls;
   for (const auto& hall : change.begun) this->ended_at.erase(hall);
   for (const auto& hall : change.ended) this->ended_at[hall] = now;
   return change;
 }
 
-evacuation_word hall_evacuations::word(absl::Time now) const {
+evacuation_snapshot hall_evacuations::snapshot(absl::Time now) const {
   return {this->revision, this->age(now), this->halls};
 }
 
 bool hall_evacuations::closed(const std::string& hall,
-                              absl::Time servers_proof) const {
+                              absl::Time servers_verified_at) const {
   if (this->halls.count(hall) != 0) return true;
   const auto ended = this->ended_at.find(hall);
-  return ended != this->ended_at.end() && servers_proof < ended->second;
+  return ended != this->ended_at.end() && servers_verified_at < ended->second;
 }
 
 std::set<std::string> hall_evacuations::closed_halls(
-    absl::Time servers_proof) const {
+    absl::Time servers_verified_at) const {
   std::set<std::string> out = this->halls;
   for (const auto& [hall, at] : this->ended_at) {
-    if (servers_proof < at) out.insert(hall);
+    if (servers_verified_at < at) out.insert(hall);
   }
   return out;
 }
--- a/src/http-fetch.cc
+++ b/src/http-fetch.cc
@@ -61,7 +61,7 @@
   while (!kept.empty()) {
     auto socket = kept.back().socket;
     kept.pop_back();
-    if (detail::open_and_silent(*socket)) return socket;
+    if (detail::is_open_and_idle(*socket)) return socket;
   }
   return nullptr;
 }
--- a/src/http-platform.cc
+++ b/src/http-platform.cc
@@ -211,13 +211,13 @@
 document_write settle_write(platform_store& store, document_write write,
                             int give_up) {
   int unanswered = 0;
-  while (!settled(write) && unanswered < give_up) {
+  while (!is_finished(write) && unanswered < give_up) {
     const platform_answer answer = store.call(next_call(write));
     if (answer.status == call_status::unavailable) {
       unanswered++;
       absl::SleepFor(absl::Milliseconds(100) * unanswered);
     }
-    write = answered(std::move(write), answer);
+    write = apply_answer(std::move(write), answer);
   }
   return write;
 }
--- a/src/lease-keeper.h
+++ b/src/lease-manager.h
@@ -19,9 +19,9 @@
 
 /// A node's part in the lease. Runs beside the holder's duty, since the store
 /// may be slow.
-class lease_keeper {
+class lease_manager {
  public:
-  explicit lease_keeper(node_context& node);
+  explicit lease_manager(node_context& node);
 
   /// Takes or renews the lease when it is time to, until the process ends.
   boost::asio::awaitable<void> run();
@@ -29,17 +29,17 @@
   /// Gives the lease up, for a process that stops.
   void stop();
   /// Lets the lease run out and leaves it to others for a while.
-  void stand_down();
+  void step_down();
 
   /// Takes the lease as a peer that holds it says it is.
-  void observe(const lease_word& said);
+  void observe(const lease_snapshot& said);
 
   /// Whether this node holds the lease and means to keep it.
   bool holds() const;
   /// Name of the node that holds the lease; empty if none is known to.
   std::string holder() const;
   /// The lease for the peers; nothing if this node does not hold it.
-  std::optional<lease_word> word() const;
+  std::optional<lease_snapshot> snapshot() const;
   /// Fence of the lease as last seen; this node's own while it holds it.
   int64_t fence() const { return this->lease.fence(); }
 
@@ -49,20 +49,20 @@
 
  private:
   /// Reads, takes or renews the lease if it is time to.
-  boost::asio::awaitable<void> look();
+  boost::asio::awaitable<void> renew_or_take_over();
   /// Whether this node may ask for the lease now.
-  bool may_ask() const;
+  bool may_call_store() const;
   /// Whether the lease is to be read now, as no peer has told of it.
   bool may_read();
   /// This node's place among the first candidates; nothing if it is none.
   std::optional<int> rank() const;
   /// This node's part of the wait before candidates take a lease over.
-  double turn();
+  double takeover_jitter_share();
   /// Reads the lease from the store. False if the store does not answer.
   boost::asio::awaitable<bool> read();
   boost::asio::awaitable<void> write();
   /// Leaves the store alone for a while, after a failed call.
-  void pause_calls();
+  void back_off();
 
   node_context& node;
   /// This start of this node, as the lease's holder.
@@ -70,16 +70,16 @@
   spokesail::lease lease;
   /// Whether the lease's state is known, from the store or from a peer.
   bool known = false;
-  bool giving_up = false;
+  bool releasing = false;
   /// Until when this node leaves the lease to others.
-  absl::Time stood_down_until = absl::InfinitePast();
+  absl::Time stepped_down_until = absl::InfinitePast();
   /// When this node first could have read the lease.
-  absl::Time first_look = absl::InfinitePast();
+  absl::Time read_wait_start = absl::InfinitePast();
   /// Drawn once, 0 to 1: how late a node that is no candidate reads it.
-  double late_share;
+  double read_jitter;
   /// Until when the store is not called for the lease, after a failed call.
-  absl::Time quiet_until = absl::InfinitePast();
-  backoff pauses;
+  absl::Time backoff_until = absl::InfinitePast();
+  backoff retry_backoff;
 };
 
 }  // namespace spokesail
--- a/src/lease.cc
+++ b/src/lease.cc
@@ -41,11 +41,11 @@
 
 void lease::observe(const object& seen, absl::Time now, double random_unit) {
   if (this->known && seen.version <= this->base.version) return;
-  this->take_version(seen, now, random_unit);
+  this->adopt_version(seen, now, random_unit);
 }
 
-void lease::take_version(const object& seen, absl::Time now,
-                         double random_unit) {
+void lease::adopt_version(const object& seen, absl::Time now,
+                          double random_unit) {
   const auto read = read_record(seen.body);
   this->known = true;
   this->base = seen;
@@ -55,7 +55,7 @@
     // The fencing number that is known still counts.
     this->record.holder = unknown_holder;
   }
-  this->takeover_at = now + random_unit * this->timing.takeover_spread;
+  this->takeover_at = now + random_unit * this->timing.takeover_jitter;
   // A lease that was given up need not run out.
   if (!this->record.holder.empty()) this->takeover_at += this->timing.duration;
   if (this->record.holder != this->self) {
@@ -68,7 +68,7 @@
   if (this->known) return;
   this->known = true;
   this->base = object{{kinds::lease, this->key_name}, 0, {}, false};
-  this->takeover_at = now + random_unit * this->timing.takeover_spread;
+  this->takeover_at = now + random_unit * this->timing.takeover_jitter;
 }
 
 void lease::release() {
@@ -78,7 +78,7 @@
 
 std::optional<platform_call> lease::due(absl::Time now,
                                         const std::string& write_id) {
-  if (this->call_out || !this->known) return std::nullopt;
+  if (this->call_pending || !this->known) return std::nullopt;
   if (!this->write) {
     const bool mine = this->record.holder == this->self && this->held(now);
     const bool early = mine ? now < this->renew_at : now < this->takeover_at;
@@ -90,28 +90,28 @@
     this->write = make_write(this->base, json(next).dump(), write_id);
     this->write_sent = now;
   }
-  this->call_out = true;
+  this->call_pending = true;
   return next_call(*this->write);
 }
 
 void lease::on_answer(const platform_answer& answer, absl::Time now,
                       double random_unit) {
-  this->call_out = false;
+  this->call_pending = false;
   if (!this->write) return;
-  this->write = answered(*this->write, answer);
-  if (!settled(*this->write)) return;
+  this->write = apply_answer(*this->write, answer);
+  if (!is_finished(*this->write)) return;
   const bool applied = this->write->state == write_state::applied;
   const object found = this->write->found;
   this->write.reset();
   if (!applied) {
     this->valid_until = absl::InfinitePast();
     if (found.version > this->base.version) {
-      this->take_version(found, now, random_unit);
+      this->adopt_version(found, now, random_unit);
     }
     return;
   }
   if (found.version > this->base.version) {
-    this->take_version(found, now, random_unit);
+    this->adopt_version(found, now, random_unit);
   }
   if (this->releasing) {
     // A renewal that was on its way comes first.
@@ -122,7 +122,7 @@
   if (this->record.holder != this->self) return;
   this->valid_until =
       this->write_sent + this->timing.duration - this->timing.margin;
-  this->renew_at = this->write_sent + this->timing.renew_every;
+  this->renew_at = this->write_sent + this->timing.renew_period;
 }
 
 }  // namespace spokesail
--- a/src/limit-gossip.cc
+++ b/src/limit-gossip.cc
@@ -12,13 +12,13 @@
 
 }  // namespace
 
-void limit_gossip::take(const std::string& peer, const limit_news& said) {
+void limit_gossip::take(const std::string& peer, const limit_update& said) {
   const absl::Time now = this->node.now();
   for (const limit_report& report : said.reports) {
     const std::optional<double> before = this->node.limits.find(report.server);
     if (!this->node.limits.take(report, now)) continue;
     if (before == report.per_s) continue;
-    this->node.log.belief(
+    this->node.log.state_change(
         "server_limit_heard",
         {{"server", report.server.server},
          {"peer", peer},
@@ -35,7 +35,7 @@
       for (auto& m : this->spread.next_round(
                this->node.limits, this->link.reachable_peers(),
                this->node.random, this->node.now())) {
-        this->link.send(m.peer, limit_news{std::move(m.reports)});
+        this->link.send(m.peer, limit_update{std::move(m.reports)});
       }
     }
     co_await this->node.sleep(round_period);
--- a/src/limit-spread.cc
+++ b/src/limit-spread.cc
@@ -14,7 +14,7 @@
   }
   std::vector<limit_report> reports;
   for (auto& [server, left] : this->rounds_left) {
-    if (reports.size() >= most_reports) break;
+    if (reports.size() >= max_reports) break;
     --left;
     if (const auto report = limits.report(server, now)) {
       reports.push_back(*report);
--- a/src/listener.cc
+++ b/src/listener.cc
@@ -20,8 +20,9 @@
   if (!error) acceptor.bind(endpoint, error);
   if (!error) acceptor.listen(accept_backlog, error);
   if (!error) return true;
-  node.log.belief("cannot_listen",
-                  {{"address", address}, {"why", error.message()}}, node.now());
+  node.log.state_change("cannot_listen",
+                        {{"address", address}, {"why", error.message()}},
+                        node.now());
   return false;
 }
 
--- a/src/membership.cc
+++ b/src/membership.cc
@@ -36,7 +36,7 @@
   this->addresses.try_emplace(peer_address, hall);
 }
 
-member& membership::touch(const member_info& info, uint64_t boot) {
+member& membership::update_member(const member_info& info, uint64_t boot) {
   member& m = this->members[info.name];
   if (m.boot != boot) {
     m = member{};
@@ -50,20 +50,20 @@
   return m;
 }
 
-bool membership::knows(const member_info& from, uint64_t boot) const {
+bool membership::sender_known(const member_info& from, uint64_t boot) const {
   if (!from.peer_address.empty()) return true;
   const auto it = this->members.find(from.name);
   return it != this->members.end() && it->second.boot == boot;
 }
 
-bool membership::on_beat(const beat& b) {
-  if (b.from.name == this->self.name || !this->knows(b.from, b.boot)) {
+bool membership::on_heartbeat(const heartbeat& b) {
+  if (b.from.name == this->self.name || !this->sender_known(b.from, b.boot)) {
     return false;
   }
-  member& m = this->touch(b.from, b.boot);
+  member& m = this->update_member(b.from, b.boot);
   if (b.sequence <= m.sequence) return false;
   m.sequence = b.sequence;
-  m.heard_at = std::max(m.heard_at, m.clock.local(b.sent));
+  m.last_message_at = std::max(m.last_message_at, m.clock.local(b.sent));
   m.revision = b.revision;
   m.view_digest = b.view_digest;
   m.ready = b.ready;
@@ -72,18 +72,18 @@
   return true;
 }
 
-void membership::on_ack(const beat_ack& ack, absl::Time sent) {
+void membership::on_ack(const heartbeat_ack& ack, absl::Time sent) {
   if (ack.from.name == this->self.name) return;
-  if (!this->knows(ack.from, ack.boot)) {
+  if (!this->sender_known(ack.from, ack.boot)) {
     // It started anew and knows nothing: the next beat tells it everything.
     const auto it = this->members.find(ack.from.name);
     if (it != this->members.end()) it->second.acked_epoch = -1;
     return;
   }
-  member& m = this->touch(ack.from, ack.boot);
-  m.heard_at = std::max(m.heard_at, sent);
+  member& m = this->update_member(ack.from, ack.boot);
+  m.last_message_at = std::max(m.last_message_at, sent);
   m.clock.learn(sent, ack.taken);
-  m.acked_epoch = ack.words_epoch;
+  m.acked_epoch = ack.observations_epoch;
   m.revision = std::max(m.revision, ack.revision);
   m.ready = ack.ready;
   m.stopping = ack.stopping;
@@ -91,7 +91,7 @@
 }
 
 bool membership::alive(const member& m, absl::Time now) const {
-  return now - m.heard_at <= this->window;
+  return now - m.last_message_at <= this->window;
 }
 
 std::vector<std::string> membership::alive_in_hall(absl::Time now) const {
@@ -113,13 +113,13 @@
   return found;
 }
 
-std::vector<std::string> membership::beat_addresses(absl::Time now) const {
+std::vector<std::string> membership::heartbeat_addresses(absl::Time now) const {
   std::vector<std::string> out;
   std::map<std::string, std::vector<std::string>> other_halls;
   for (const auto& [address, hall] : this->addresses) {
     const member* m = this->find_address(address);
-    const bool gone = m && now - m->heard_at > forget_after &&
-                      m->heard_at != absl::InfinitePast();
+    const bool gone = m && now - m->last_message_at > forget_after &&
+                      m->last_message_at != absl::InfinitePast();
     if (gone) continue;
     if (hall == this->self.hall) {
       out.push_back(address);
--- a/src/model-shares.cc
+++ b/src/model-shares.cc
@@ -16,14 +16,14 @@
 
 /// Above this use the slowdown of shared engines is not bounded by the requests
 /// that they have room for; it goes on straight from there.
-constexpr double steepest_use = 0.8;
+constexpr double linear_from_use = 0.8;
 
 /// Groups that each model keeps where there are data halls enough.
-constexpr int least_groups = 2;
+constexpr int min_groups = 2;
 
 /// Time for which hosts that change serve nobody, beside the loading of
 /// weights that they hold: the end of streams, and joining.
-constexpr absl::Duration change_time = absl::Seconds(2);
+constexpr absl::Duration switch_downtime = absl::Seconds(2);
 
 /// Models of an engine, those with the largest groups first.
 std::vector<const model_profile*> by_size(const engine_profile& engine) {
@@ -62,10 +62,11 @@
   return best;
 }
 
-count_by_model floors(const engine_profile& engine, const host_room& room,
-                      const need_by_model& need) {
+count_by_model group_floors(const engine_profile& engine,
+                            const host_capacity& room,
+                            const need_by_model& need) {
   count_by_model out;
-  const int most = std::min(room.halls, least_groups);
+  const int most = std::min(room.halls, min_groups);
   for (int count = 1; count <= most; ++count) {
     for (const auto* model : by_size(engine)) {
       const bool kept = model->share > 0 || value_of(need, model->name) > 0;
@@ -94,8 +95,8 @@
 }
 
 /// Hosts of groups that give way, as a part of all that serve.
-double moved_part(const engine_profile& engine, const count_by_model& from,
-                  const count_by_model& to) {
+double moved_fraction(const engine_profile& engine, const count_by_model& from,
+                      const count_by_model& to) {
   double moved = 0;
   double all = 0;
   for (const auto& model : engine.models) {
@@ -121,7 +122,7 @@
   const request_size mean = {demand.prompt_tokens / demand.requests,
                              demand.answer_tokens / demand.requests};
   const double step = step_ms(engine, slots, mean);
-  const double ms = demand.prompt_tokens / engine.read_tokens_per_ms +
+  const double ms = demand.prompt_tokens / engine.prefill_tokens_per_ms +
                     demand.answer_tokens * step / slots;
   return part * model.pace * ms / 1000;
 }
@@ -130,13 +131,13 @@
   if (need <= 0) return 1;
   // Without any group, all waits are longer than with one.
   const double use = groups > 0 ? need / groups : 1 + need;
-  if (use <= steepest_use) return 1 / (1 - use);
-  const double rest = 1 - steepest_use;
-  return 1 / rest + (use - steepest_use) / (rest * rest);
+  if (use <= linear_from_use) return 1 / (1 - use);
+  const double rest = 1 - linear_from_use;
+  return 1 / rest + (use - linear_from_use) / (rest * rest);
 }
 
 bool groups_fit(const engine_profile& engine, const count_by_model& counts,
-                const host_room& room) {
+                const host_capacity& room) {
   const auto models = by_size(engine);
   if (models.empty()) return true;
   const int smallest = std::max(1, models.back()->group_size);
@@ -153,8 +154,9 @@
   return true;
 }
 
-double division_cost(const engine_profile& engine, const count_by_model& counts,
-                     const need_by_model& need) {
+double allocation_cost(const engine_profile& engine,
+                       const count_by_model& counts,
+                       const need_by_model& need) {
   double out = 0;
   for (const auto& model : engine.models) {
     const auto count = counts.find(model.name);
@@ -164,9 +166,10 @@
   return out;
 }
 
-count_by_model divide_hosts(const engine_profile& engine, const host_room& room,
-                            const need_by_model& need) {
-  count_by_model counts = floors(engine, room, need);
+count_by_model allocate_hosts(const engine_profile& engine,
+                              const host_capacity& room,
+                              const need_by_model& need) {
+  count_by_model counts = group_floors(engine, room, need);
   for (;;) {
     count_by_model best;
     double best_gain = 0;
@@ -191,7 +194,7 @@
   return found == this->shares.end() ? model.share : found->second;
 }
 
-size_t model_shares::first_since(absl::Time from) const {
+size_t model_shares::first_sample_since(absl::Time from) const {
   size_t first = 0;
   while (first + 1 < this->seen.size() && this->seen[first + 1].at <= from) {
     ++first;
@@ -199,7 +202,7 @@
   return first;
 }
 
-need_by_model model_shares::mean_from(size_t first) const {
+need_by_model model_shares::mean_need_from(size_t first) const {
   need_by_model out;
   for (size_t i = first; i < this->seen.size(); ++i) {
     for (const auto& [model, need] : this->seen[i].need) out[model] += need;
@@ -209,72 +212,70 @@
   return out;
 }
 
-void model_shares::weigh(const engine_profile& engine, size_t first,
-                         share_change& change) const {
+void model_shares::evaluate(const engine_profile& engine, size_t first,
+                            allocation_change& change) const {
   double all_before = 0;
   double all_after = 0;
-  change.least_gain = std::numeric_limits<double>::infinity();
+  change.min_gain = std::numeric_limits<double>::infinity();
   for (size_t i = first; i < this->seen.size(); ++i) {
     const need_by_model& need = this->seen[i].need;
-    const double before = division_cost(engine, change.from, need);
-    const double after = division_cost(engine, change.to, need);
+    const double before = allocation_cost(engine, change.from, need);
+    const double after = allocation_cost(engine, change.to, need);
     const double gain = before > 0 ? (before - after) / before : 0;
-    change.least_gain = std::min(change.least_gain, gain);
+    change.min_gain = std::min(change.min_gain, gain);
     all_before += before;
     all_after += after;
   }
   change.gain = all_before > 0 ? (all_before - all_after) / all_before : 0;
 }
 
-std::optional<share_change> model_shares::change_after(
-    const engine_profile& engine, const host_room& room,
+std::optional<allocation_change> model_shares::find_change(
+    const engine_profile& engine, const host_capacity& room,
     const count_by_model& wanted, absl::Duration load, absl::Time now) const {
   const absl::Duration evidence = this->rules.wait_for_loads
-                                      ? load + this->rules.beyond_load
+                                      ? load + this->rules.evidence_margin
                                       : absl::ZeroDuration();
   const absl::Time since = now - evidence;
   if (this->seen.front().at > since) return std::nullopt;
-  const size_t first = this->first_since(since);
-  const need_by_model need = this->mean_from(first);
-  share_change out{wanted, divide_hosts(engine, room, need), need, 0,
-                   0,      now - this->seen[first].at};
+  const size_t first = this->first_sample_since(since);
+  const need_by_model need = this->mean_need_from(first);
+  allocation_change out{wanted, allocate_hosts(engine, room, need), need, 0,
+                        0,      now - this->seen[first].at};
   if (out.to == wanted) return std::nullopt;
   if (longest_load(engine, wanted, out.to) > load) return std::nullopt;
-  this->weigh(engine, first, out);
-  const double each = this->rules.least_gain * this->rules.each_second;
-  if (out.gain < this->rules.least_gain || out.least_gain < each) {
+  this->evaluate(engine, first, out);
+  const double each = this->rules.min_gain * this->rules.min_sample_gain_ratio;
+  if (out.gain < this->rules.min_gain || out.min_gain < each) {
     return std::nullopt;
   }
-  const double lost =
-      moved_part(engine, wanted, out.to) * absl::ToDoubleSeconds(change_time);
+  const double lost = moved_fraction(engine, wanted, out.to) *
+                      absl::ToDoubleSeconds(switch_downtime);
   const double gained = out.gain * absl::ToDoubleSeconds(out.seen);
   if (this->rules.wait_for_loads && gained <= lost) return std::nullopt;
   return out;
 }
 
-std::optional<share_change> model_shares::take(const engine_profile& engine,
-                                               const host_room& room,
-                                               const count_by_model& wanted,
-                                               const need_by_model& need,
-                                               absl::Time now) {
+std::optional<allocation_change> model_shares::add_sample(
+    const engine_profile& engine, const host_capacity& room,
+    const count_by_model& wanted, const need_by_model& need, absl::Time now) {
   this->seen.push_back({now, need});
   std::set<absl::Duration> loads;
   for (const auto& model : engine.models) loads.insert(model.cold_load);
   if (loads.empty()) return std::nullopt;
-  const absl::Time oldest = now - *loads.rbegin() - this->rules.beyond_load;
+  const absl::Time oldest = now - *loads.rbegin() - this->rules.evidence_margin;
   while (this->seen.size() > 1 && this->seen[1].at <= oldest) {
     this->seen.pop_front();
   }
   for (const absl::Duration load : loads) {
-    auto change = this->change_after(engine, room, wanted, load, now);
+    auto change = this->find_change(engine, room, wanted, load, now);
     if (!change) continue;
-    this->put_in_force(engine, room, change->to);
+    this->apply_allocation(engine, room, change->to);
     return change;
   }
   return std::nullopt;
 }
 
-void model_shares::take_statement(const engine_profile& engine) {
+void model_shares::sync_configured_shares(const engine_profile& engine) {
   std::map<std::string, double> now_stated;
   for (const auto& model : engine.models) now_stated[model.name] = model.share;
   const bool same_models =
@@ -283,16 +284,16 @@
                  now_stated.end(), [](const auto& a, const auto& b) {
                    return a.first == b.first;
                  });
-  const bool same = this->stated.empty() || this->stated == now_stated;
-  this->stated = now_stated;
+  const bool same = this->configured.empty() || this->configured == now_stated;
+  this->configured = now_stated;
   if (same && same_models) return;
   this->shares.clear();
   this->seen.clear();
 }
 
-void model_shares::put_in_force(const engine_profile& engine,
-                                const host_room& room,
-                                const count_by_model& counts) {
+void model_shares::apply_allocation(const engine_profile& engine,
+                                    const host_capacity& room,
+                                    const count_by_model& counts) {
   const double hosts =
       std::accumulate(room.domains.begin(), room.domains.end(), 0.0);
   for (const auto& model : engine.models) {
--- a/src/node-beat.cc
+++ b/src/node-beat.cc
@@ -28,8 +28,8 @@
   }
   for (const auto& [name, slot] : this->s.probes) {
     if (slots.count(name) != 0) continue;
-    this->s.presence.withdraw(self, name);
-    this->s.words_epoch++;
+    this->s.presence.remove_observation(self, name);
+    this->s.observations_epoch++;
   }
   this->s.probes = std::move(slots);
 }
@@ -57,22 +57,25 @@
   seen.at = e.sent;
   if (e.reachable) {
     it->second.answered = e.sent;
-  } else if (const auto before = this->s.presence.word(self, e.host)) {
+  } else if (const auto before =
+                 this->s.presence.observation_of(self, e.host)) {
     seen.report = before->report;
   }
   if (!this->s.presence.observe(self, e.host, seen)) return;
-  this->s.words_epoch++;
-  this->s.beat_now = true;
+  this->s.observations_epoch++;
+  this->s.heartbeat_due = true;
   if (!e.reachable) this->log("host_unreachable", {{"host", e.host}});
-  this->note_open_groups();
-  this->send_beats();
+  this->update_open_groups();
+  this->send_heartbeats();
 }
 
 absl::Time node_step::probed_at() const {
   absl::Time oldest = this->now;
   for (const auto& [name, slot] : this->s.probes) {
-    const auto word = this->s.presence.word(this->s.options.self.name, name);
-    if (word && word->reachable) oldest = std::min(oldest, slot.answered);
+    const auto observation_of =
+        this->s.presence.observation_of(this->s.options.self.name, name);
+    if (observation_of && observation_of->reachable)
+      oldest = std::min(oldest, slot.answered);
   }
   return oldest;
 }
@@ -93,105 +96,110 @@
   return targets;
 }
 
-beat node_step::make_beat() {
-  beat b;
+heartbeat node_step::make_heartbeat() {
+  heartbeat b;
   b.from = this->s.options.self;
   b.boot = this->s.options.boot;
-  b.sequence = ++this->s.beat_sequence;
+  b.sequence = ++this->s.heartbeat_sequence;
   b.sent = this->now;
   b.revision = this->s.revision;
   b.view_digest = this->s.view.digest();
   b.ready = this->ready();
   b.stopping = this->s.stopping;
-  b.words_epoch = this->s.words_epoch;
+  b.observations_epoch = this->s.observations_epoch;
   b.probed_at = this->probed_at();
   b.open_models = this->open_targets();
   for (const auto& [name, slot] : this->s.probes) {
-    const auto word = this->s.presence.word(this->s.options.self.name, name);
-    if (!word) continue;
-    const absl::Time at = word->reachable ? word->at : word->unreachable_since;
-    b.words.push_back({name, word->reachable, at, word->report});
-    const bool loaded = word->load.running > 0 || word->load.queued > 0;
-    if (loaded) b.loads.push_back({name, word->load});
+    const auto observation_of =
+        this->s.presence.observation_of(this->s.options.self.name, name);
+    if (!observation_of) continue;
+    const absl::Time at = observation_of->reachable
+                              ? observation_of->at
+                              : observation_of->unreachable_since;
+    b.observations.push_back(
+        {name, observation_of->reachable, at, observation_of->report});
+    const bool loaded =
+        observation_of->load.running > 0 || observation_of->load.queued > 0;
+    if (loaded) b.loads.push_back({name, observation_of->load});
   }
   return b;
 }
 
-void node_step::send_beats() {
-  this->s.beat_now = false;
-  beat full = this->make_beat();
-  full.has_words = true;
-  beat far = full;
-  far.has_words = false;
-  far.words.clear();
+void node_step::send_heartbeats() {
+  this->s.heartbeat_due = false;
+  heartbeat full = this->make_heartbeat();
+  full.has_observations = true;
+  heartbeat far = full;
+  far.has_observations = false;
+  far.observations.clear();
   full.open_models.clear();
-  beat brief = far;
+  heartbeat brief = far;
   brief.open_models.clear();
   brief.from = {full.from.name, "", "", ""};
-  for (const auto& address : this->s.members.beat_addresses(this->now)) {
+  for (const auto& address : this->s.members.heartbeat_addresses(this->now)) {
     const member* m = this->s.members.find_address(address);
     const bool near = !m || m->info.hall == this->s.options.self.hall;
-    const bool knows = m && m->acked_epoch == full.words_epoch;
+    const bool knows = m && m->acked_epoch == full.observations_epoch;
     if (!near) {
-      this->emit(beat_effect{address, far});
+      this->emit(heartbeat_effect{address, far});
     } else {
-      this->emit(beat_effect{address, knows ? brief : full});
+      this->emit(heartbeat_effect{address, knows ? brief : full});
     }
   }
 }
 
-void node_step::take_words(const beat& b, member& m) {
-  if (b.has_words) {
+void node_step::apply_host_observations(const heartbeat& b, member& m) {
+  if (b.has_observations) {
     // The words replace all that the prober said before, also what an earlier
     // start of its process said.
-    this->s.presence.forget_prober(b.from.name);
+    this->s.presence.remove_prober(b.from.name);
     bool all_taken = m.clock.known();
-    for (const auto& word : b.words) {
-      all_taken &= this->s.hosts.count(word.host) != 0;
+    for (const auto& observation_of : b.observations) {
+      all_taken &= this->s.hosts.count(observation_of.host) != 0;
       if (!all_taken) break;
       observation seen;
-      seen.reachable = word.reachable;
-      seen.report = word.report;
-      seen.at = m.clock.local(word.at);
-      this->s.presence.observe(b.from.name, word.host, seen);
+      seen.reachable = observation_of.reachable;
+      seen.report = observation_of.report;
+      seen.at = m.clock.local(observation_of.at);
+      this->s.presence.observe(b.from.name, observation_of.host, seen);
     }
     // What could not be taken, for a host or a clock that this node has yet
     // to hear of, is wanted again.
-    m.words_epoch = all_taken ? b.words_epoch : -1;
+    m.observations_epoch = all_taken ? b.observations_epoch : -1;
   }
-  if (m.words_epoch == b.words_epoch) {
+  if (m.observations_epoch == b.observations_epoch) {
     std::map<std::string, host_load> loads;
     for (const auto& load : b.loads) loads[load.host] = load.load;
     this->s.presence.set_loads(b.from.name, loads);
     this->s.presence.refresh(b.from.name, m.clock.local(b.probed_at));
   }
-  this->note_open_groups();
+  this->update_open_groups();
 }
 
-void node_step::on(const beat_event& e) {
-  const beat& b = e.content;
-  const bool taken = this->s.members.on_beat(b);
+void node_step::on(const heartbeat_event& e) {
+  const heartbeat& b = e.content;
+  const bool taken = this->s.members.on_heartbeat(b);
   member* m = this->s.members.find(b.from.name);
   const bool near = m && m->info.hall == this->s.options.self.hall;
-  if (taken && near) this->take_words(b, *m);
-  beat_ack ack;
+  if (taken && near) this->apply_host_observations(b, *m);
+  heartbeat_ack ack;
   ack.from = this->s.options.self;
   if (near) ack.from = {ack.from.name, "", "", ""};
   ack.boot = this->s.options.boot;
   ack.taken = this->now;
-  ack.words_epoch = taken && near ? m->words_epoch : -1;
+  ack.observations_epoch = taken && near ? m->observations_epoch : -1;
   ack.revision = this->s.revision;
   ack.ready = this->ready();
   ack.stopping = this->s.stopping;
   if (!near) ack.open_models = this->open_targets();
-  this->emit(beat_ack_effect{e.token, std::move(ack)});
+  this->emit(heartbeat_ack_effect{e.token, std::move(ack)});
 }
 
-void node_step::on(const beat_ack_event& e) {
+void node_step::on(const heartbeat_ack_event& e) {
   this->s.members.on_ack(e.content, e.sent);
 }
 
-void node_step::note_lost() {
+void node_step::update_lost_hosts() {
   for (const auto& [name, info] : this->s.hosts) {
     const bool present =
         this->s.presence
@@ -205,32 +213,33 @@
   }
 }
 
-void node_step::note_open_groups() {
+void node_step::update_open_groups() {
   std::map<std::string, bool> open_now;
   for (const auto& g : this->s.groups.groups) {
     const bool open = group_open(this->s, g, this->now);
     open_now[g.name] = open;
-    const auto before = this->s.open_before.find(g.name);
-    const bool was = before != this->s.open_before.end() && before->second;
+    const auto before = this->s.was_open.find(g.name);
+    const bool was = before != this->s.was_open.end() && before->second;
     if (open == was) continue;
     this->log(open ? "group_open" : "group_closed",
               {{"group", g.name},
                {"incarnation", std::to_string(g.incarnation)},
                {"phase", phase_name(g.phase)}});
   }
-  this->s.open_before = std::move(open_now);
+  this->s.was_open = std::move(open_now);
 }
 
 void node_step::tick_members() {
   this->assign_probes();
   this->send_probes();
-  this->note_lost();
-  this->note_open_groups();
-  if (this->now < this->s.next_beat && !this->s.beat_now) return;
+  this->update_lost_hosts();
+  this->update_open_groups();
+  if (this->now < this->s.next_heartbeat && !this->s.heartbeat_due) return;
   // A little jitter keeps the nodes from beating in step.
   const double stretch = 0.9 + 0.2 * this->s.random.unit();
-  this->s.next_beat = this->now + stretch * this->s.options.beat_period;
-  this->send_beats();
+  this->s.next_heartbeat =
+      this->now + stretch * this->s.options.heartbeat_period;
+  this->send_heartbeats();
 }
 
 }  // namespace spokesail::detail
--- a/src/node-context.cc
+++ b/src/node-context.cc
@@ -13,10 +13,11 @@
 
 /// Part of a process' memory for what is held for callers; the rest is for the
 /// process itself and for what the kernel holds of its connections.
-constexpr double held_share = 0.4;
+constexpr double buffered_memory_fraction = 0.4;
 
-size_t most_held(const node_settings& settings) {
-  return static_cast<size_t>(held_share * static_cast<double>(settings.memory));
+size_t max_buffered_bytes(const node_settings& settings) {
+  return static_cast<size_t>(buffered_memory_fraction *
+                             static_cast<double>(settings.memory));
 }
 
 }  // namespace
@@ -34,8 +35,8 @@
       pool(io.get_executor()),
       random{std::mt19937_64(std::random_device()())},
       started(boot_now()),
-      held(most_held(node_settings_in)),
-      repeats(node_settings_in.repeats, started) {}
+      held(max_buffered_bytes(node_settings_in)),
+      retries(node_settings_in.retries, started) {}
 
 absl::Time node_context::now() const { return boot_now(); }
 
@@ -45,24 +46,24 @@
   co_await timer.async_wait(detail::use_tuple);
 }
 
-void node_context::note_tick(absl::Duration delay) {
+void node_context::record_loop_delay(absl::Duration delay) {
   this->loop_delay =
-      std::max(delay, this->loop_delay * node_timing::delay_left);
+      std::max(delay, this->loop_delay * node_timing::loop_delay_decay);
 }
 
 absl::Duration node_context::config_age() const {
-  return this->now() - this->config_proof;
+  return this->now() - this->config_verified_at;
 }
 
 news_age node_context::age() const {
   const absl::Time now = this->now();
-  return {this->config_age(), now - this->servers_proof,
+  return {this->config_age(), now - this->servers_verified_at,
           this->evacuations.age(now)};
 }
 
 bool node_context::config_fresh() const {
   return this->config_age() <
-         node_timing::fresh_share * this->settings.bounds.revoke_time;
+         node_timing::fresh_fraction * this->settings.bounds.revoke_deadline;
 }
 
 bool node_context::keys_trusted() const {
@@ -70,12 +71,12 @@
 }
 
 bool node_context::evacuations_known() const {
-  return !this->settings.bounds.evacuate_time || this->evacuations.known();
+  return !this->settings.bounds.evacuate_deadline || this->evacuations.known();
 }
 
 bool node_context::hall_closed(const std::string& hall) const {
   return !this->evacuations_known() ||
-         this->evacuations.closed(hall, this->servers_proof);
+         this->evacuations.closed(hall, this->servers_verified_at);
 }
 
 bool node_context::service_closed(const std::string& service) const {
@@ -93,21 +94,21 @@
          this->evacuations_known() && !this->stopping() && this->keys_trusted();
 }
 
-void node_context::avoid_place(const std::string& place) {
-  this->avoid[place] = this->now() + node_timing::avoid_time;
+void node_context::avoid_endpoint(const std::string& endpoint) {
+  this->avoided_until[endpoint] = this->now() + node_timing::avoid_duration;
 }
 
-bool node_context::avoided(const std::string& place) const {
-  const auto found = this->avoid.find(place);
-  return found != this->avoid.end() && this->now() < found->second;
+bool node_context::avoided(const std::string& endpoint) const {
+  const auto found = this->avoided_until.find(endpoint);
+  return found != this->avoided_until.end() && this->now() < found->second;
 }
 
-int node_context::sharing_nodes() {
+int node_context::capacity_sharing_nodes() {
   return std::max(this->live_nodes, this->fleet.most(this->now()).value_or(1));
 }
 
 void node_context::suspect_server(const std::string& server) {
-  this->suspects[server] = this->now();
+  this->suspected_servers[server] = this->now();
 }
 
 const std::vector<group_view>& node_context::groups(
--- a/src/node-control.cc
+++ b/src/node-control.cc
@@ -62,7 +62,7 @@
 void node_step::on(const platform_event& e) {
   controller& c = this->s.hall_controller;
   if (e.answer.status != call_status::unavailable) {
-    this->s.heard_platform = this->now;
+    this->s.last_platform_contact = this->now;
   }
   switch (e.owner) {
     case call_owner::lease:
@@ -79,13 +79,13 @@
       }
       break;
     case call_owner::poll:
-      this->s.poll_out = false;
+      this->s.poll_pending = false;
       break;
   }
 }
 
 void node_step::on(const order_event& e) {
-  this->s.hall_controller.on_order(e.host, e.status, this->now);
+  this->s.hall_controller.on_order_result(e.host, e.status, this->now);
 }
 
 }  // namespace spokesail::detail
--- a/src/node-gossip.h
+++ b/src/node-gossip.h
@@ -10,9 +10,9 @@
 #include <string>
 #include <vector>
 
-#include "far-gossip.h"
 #include "peer-link.h"
-#include "spokesail/tell-pace.h"
+#include "remote-gossip.h"
+#include "spokesail/gossip-pacer.h"
 
 namespace spokesail {
 
@@ -28,17 +28,17 @@
   void take(const std::string& peer, const gossip& said);
 
   /// Takes what a relay passed on.
-  void take_relayed(const news& said);
+  void apply_relayed(const store_update& said);
 
   /// Takes the holder's word, unless a later one is known.
-  void take_holder(const holder_word& said);
+  void apply_holder_state(const holder_state& said);
 
   /// The holder's word: this node's own while it holds the lease, or the last
   /// that it heard.
-  std::optional<holder_word> holder_said() const;
+  std::optional<holder_state> holder_said() const;
 
   /// Fills in what a relay passes on beside the news of the store.
-  void add_to(news& out) const;
+  void fill_update(store_update& out) const;
 
   /// Nodes that could take the lease over, in order.
   std::vector<std::string> lease_candidates() const {
@@ -46,19 +46,19 @@
   }
 
   /// What this node says as the holder of the lease; nothing if it is not.
-  std::function<std::optional<holder_word>()> own_word;
+  std::function<std::optional<holder_state>()> own_holder_state;
   /// Name of the node that holds the lease; empty if unknown.
   std::function<std::string()> holder;
   /// Called with the lease of a peer that holds it.
-  std::function<void(const lease_word&)> on_lease;
+  std::function<void(const lease_snapshot&)> on_lease;
   /// Called with a server that this node or a peer suspects.
   std::function<void(const std::string&)> on_suspect;
 
  private:
-  void tell_near(gossip said, absl::Time now);
+  void send_local_gossip(gossip said, absl::Time now);
   /// Tells the holder of servers that this node suspects.
-  void tell_suspects(absl::Time now);
-  gossip compose() const;
+  void send_suspicions(absl::Time now);
+  gossip make_gossip() const;
   /// Counts the nodes that live, and those that may.
   void count_nodes(absl::Time now);
   /// Writes a line on each place that has become slow, or is fast again.
@@ -66,14 +66,14 @@
 
   node_context& node;
   peer_link& link;
-  far_gossip far;
+  remote_gossip far;
   /// The last message to this hall.
-  gossip near_said;
-  absl::Time near_sent = absl::InfinitePast();
-  tell_pace near_pace;
+  gossip last_local_gossip;
+  absl::Time local_gossip_sent_at = absl::InfinitePast();
+  gossip_pacer local_pace;
   absl::Time demand_sent = absl::InfinitePast();
   /// When suspicions were last passed on.
-  absl::Time suspects_sent = absl::InfinitePast();
+  absl::Time suspicions_sent_at = absl::InfinitePast();
 };
 
 }  // namespace spokesail
--- a/src/node-log.cc
+++ b/src/node-log.cc
@@ -12,16 +12,16 @@
 namespace {
 
 /// Lines that wait for the writer; the oldest go first when it falls behind.
-constexpr size_t queued_lines = 4096;
+constexpr size_t log_queue_size = 4096;
 
 /// Lines a second of one event. A node carries some tens of requests a second.
-constexpr int request_lines = 60;
-constexpr int belief_lines = 300;
+constexpr int max_request_lines = 60;
+constexpr int max_state_change_lines = 300;
 
 }  // namespace
 
 node_log::node_log(const std::string& node) {
-  spdlog::init_thread_pool(queued_lines, 1);
+  spdlog::init_thread_pool(log_queue_size, 1);
   auto logger =
       spdlog::create_async_nb<spdlog::sinks::stdout_sink_st>("spokesail-node");
   logger->set_pattern("time=%Y-%m-%dT%H:%M:%S.%e%z node=" + quoted(node) +
@@ -42,11 +42,12 @@
   }
 }
 
-void node_log::write(log_weight weight, const char* event,
+void node_log::write(log_category weight, const char* event,
                      const std::vector<log_field>& fields, absl::Time now) {
   if (now - this->second >= absl::Seconds(1)) this->begin_second(now);
   quota& q = this->quotas[event];
-  const int most = weight == log_weight::request ? request_lines : belief_lines;
+  const int most = weight == log_category::request ? max_request_lines
+                                                   : max_state_change_lines;
   if (q.written >= most) {
     q.omitted++;
     this->omitted_total++;
--- a/src/node-log.h
+++ b/src/node-log.h
@@ -14,11 +14,11 @@
 namespace spokesail {
 
 /// How much an event matters when lines have to be left out.
-enum class log_weight {
+enum class log_category {
   /// A decision on one request; bounded.
   request,
   /// A change of what the process believes, or an error; bounded far higher.
-  belief
+  state_change
 };
 
 /// A node's log. Not safe from more than one thread.
@@ -32,17 +32,17 @@
 
   /// Writes a line, or counts it if its event has had its share of lines in
   /// this second.
-  void write(log_weight weight, const char* event,
+  void write(log_category weight, const char* event,
              const std::vector<log_field>& fields, absl::Time now);
 
   /// Writes a line on a change of what the process believes.
-  void belief(const char* event, const std::vector<log_field>& fields,
-              absl::Time now) {
-    this->write(log_weight::belief, event, fields, now);
+  void state_change(const char* event, const std::vector<log_field>& fields,
+                    absl::Time now) {
+    this->write(log_category::state_change, event, fields, now);
   }
 
   /// Lines that were left out since the start.
-  uint64_t left_out() const { return this->omitted_total; }
+  uint64_t omitted_lines() const { return this->omitted_total; }
 
  private:
   /// One event's lines in this second.
--- a/src/node-message.cc
+++ b/src/node-message.cc
@@ -37,36 +37,38 @@
 }
 
 template <typename List>
-void write_places(List out, const std::vector<place_load>& places) {
+void write_places(List out, const std::vector<endpoint_load>& places) {
   for (size_t i = 0; i < places.size(); ++i) {
-    out[i].setName(places[i].place);
+    out[i].setName(places[i].endpoint);
     out[i].setRunning(places[i].running);
-    out[i].setUnreadTokens(static_cast<float>(places[i].unread_tokens));
+    out[i].setUnreadTokens(
+        static_cast<float>(places[i].pending_prefill_tokens));
   }
 }
 
 template <typename List>
-std::vector<place_load> read_places(List list) {
-  std::vector<place_load> out;
-  for (const auto place : list) {
-    out.push_back({place.getName().cStr(), static_cast<int>(place.getRunning()),
-                   place.getUnreadTokens()});
+std::vector<endpoint_load> read_places(List list) {
+  std::vector<endpoint_load> out;
+  for (const auto endpoint : list) {
+    out.push_back({endpoint.getName().cStr(),
+                   static_cast<int>(endpoint.getRunning()),
+                   endpoint.getUnreadTokens()});
   }
   return out;
 }
 
 template <typename List>
-void write_speeds(List out, const std::vector<place_speed>& speeds) {
+void write_speeds(List out, const std::vector<endpoint_speed>& speeds) {
   for (size_t i = 0; i < speeds.size(); ++i) {
-    out[i].setPlace(speeds[i].place);
+    out[i].setPlace(speeds[i].endpoint);
     out[i].setSlowness(static_cast<float>(speeds[i].slowness));
     out[i].setSamples(speeds[i].samples);
   }
 }
 
 template <typename List>
-std::vector<place_speed> read_speeds(List list) {
-  std::vector<place_speed> out;
+std::vector<endpoint_speed> read_speeds(List list) {
+  std::vector<endpoint_speed> out;
   for (const auto speed : list) {
     out.push_back({speed.getPlace().cStr(), speed.getSlowness(),
                    static_cast<int>(speed.getSamples())});
@@ -98,7 +100,7 @@
 }
 
 template <typename List>
-void write_counts(List out, const std::vector<server_count>& counts) {
+void write_counts(List out, const std::vector<server_request_count>& counts) {
   for (size_t i = 0; i < counts.size(); ++i) {
     out[i].setServer(counts[i].server);
     out[i].setIncarnation(counts[i].incarnation);
@@ -107,8 +109,8 @@
 }
 
 template <typename List>
-std::vector<server_count> read_counts(List list) {
-  std::vector<server_count> out;
+std::vector<server_request_count> read_counts(List list) {
+  std::vector<server_request_count> out;
   for (const auto item : list) {
     out.push_back({item.getServer().cStr(), item.getIncarnation(),
                    static_cast<int>(item.getCount())});
@@ -141,26 +143,26 @@
 }
 
 void write_evacuations(rpc::Evacuations::Builder out,
-                       const evacuation_word& said) {
+                       const evacuation_snapshot& said) {
   out.setRevision(said.revision);
   out.setAgeMs(static_cast<uint32_t>(absl::ToInt64Milliseconds(said.age)));
   write_texts(out.initHalls(said.halls.size()),
               {said.halls.begin(), said.halls.end()});
 }
 
-evacuation_word read_evacuations(rpc::Evacuations::Reader in) {
-  evacuation_word out;
+evacuation_snapshot read_evacuations(rpc::Evacuations::Reader in) {
+  evacuation_snapshot out;
   out.revision = in.getRevision();
   out.age = absl::Milliseconds(in.getAgeMs());
   for (const auto hall : in.getHalls()) out.halls.insert(hall.cStr());
   return out;
 }
 
-void write_holder(rpc::HolderWord::Builder out, const holder_word& h) {
+void write_holder(rpc::HolderWord::Builder out, const holder_state& h) {
   out.setLeaseVersion(h.lease.version);
   out.setLeaseRecord(h.lease.record);
   out.setSequence(h.sequence);
-  write_texts(out.initSilent(h.silent.size()), h.silent);
+  write_texts(out.initSilent(h.unresponsive.size()), h.unresponsive);
   out.setLoadsBegun(h.loads_begun);
   auto shares = out.initShares(h.shares.size());
   for (size_t i = 0; i < h.shares.size(); ++i) {
@@ -170,11 +172,11 @@
   }
 }
 
-holder_word read_holder(rpc::HolderWord::Reader in) {
-  holder_word out;
+holder_state read_holder(rpc::HolderWord::Reader in) {
+  holder_state out;
   out.lease = {in.getLeaseVersion(), in.getLeaseRecord().cStr()};
   out.sequence = in.getSequence();
-  out.silent = read_texts(in.getSilent());
+  out.unresponsive = read_texts(in.getSilent());
   out.loads_begun = static_cast<int>(in.getLoadsBegun());
   for (const auto said : in.getShares()) {
     out.shares.push_back(
@@ -188,7 +190,7 @@
   if (g.holder) write_holder(out.initHolder(), *g.holder);
   out.setRequestsSeen(g.requests_seen);
   out.setHallNodes(g.hall_nodes);
-  write_texts(out.initHallFirsts(g.hall_firsts.size()), g.hall_firsts);
+  write_texts(out.initHallFirsts(g.hall_contacts.size()), g.hall_contacts);
   write_speeds(out.initSpeeds(g.speeds.size()), g.speeds);
   write_demand(out.initDemand(g.demand.size()), g.demand);
 }
@@ -199,19 +201,19 @@
   if (in.hasHolder()) out.holder = read_holder(in.getHolder());
   out.requests_seen = in.getRequestsSeen();
   out.hall_nodes = static_cast<int>(in.getHallNodes());
-  out.hall_firsts = read_texts(in.getHallFirsts());
+  out.hall_contacts = read_texts(in.getHallFirsts());
   out.speeds = read_speeds(in.getSpeeds());
   out.demand = read_demand(in.getDemand());
   return out;
 }
 
-void write_server(rpc::ServerNews::Builder out, const server_news& s) {
+void write_server(rpc::ServerNews::Builder out, const server_change& s) {
   const server_entry& entry = s.server.entry;
   out.setId(entry.id);
   out.setRevision(s.server.revision);
   out.setGone(s.gone);
   out.setLapsesInMs(
-      static_cast<uint32_t>(absl::ToInt64Milliseconds(s.lapses_in)));
+      static_cast<uint32_t>(absl::ToInt64Milliseconds(s.expires_in)));
   out.setService(entry.service);
   out.setAddress(entry.address);
   out.setHall(entry.hall);
@@ -225,7 +227,7 @@
   out.setPhase(static_cast<uint8_t>(entry.membership.phase));
   out.setIncarnation(entry.incarnation);
   out.setColdForMs(
-      static_cast<uint32_t>(absl::ToInt64Milliseconds(s.cold_for)));
+      static_cast<uint32_t>(absl::ToInt64Milliseconds(s.cold_remaining)));
 }
 
 member_phase read_phase(uint8_t phase) {
@@ -233,13 +235,13 @@
   return known ? static_cast<member_phase>(phase) : member_phase::none;
 }
 
-server_news read_server(rpc::ServerNews::Reader in) {
-  server_news out;
+server_change read_server(rpc::ServerNews::Reader in) {
+  server_change out;
   server_entry& entry = out.server.entry;
   entry.id = in.getId().cStr();
   out.server.revision = in.getRevision();
   out.gone = in.getGone();
-  out.lapses_in = absl::Milliseconds(in.getLapsesInMs());
+  out.expires_in = absl::Milliseconds(in.getLapsesInMs());
   entry.service = in.getService().cStr();
   entry.address = in.getAddress().cStr();
   entry.hall = in.getHall().cStr();
@@ -252,11 +254,11 @@
   entry.membership.rank = static_cast<int>(in.getRank());
   entry.membership.phase = read_phase(in.getPhase());
   entry.incarnation = in.getIncarnation();
-  out.cold_for = absl::Milliseconds(in.getColdForMs());
+  out.cold_remaining = absl::Milliseconds(in.getColdForMs());
   return out;
 }
 
-void write_news(rpc::News::Builder out, const news& n) {
+void write_news(rpc::News::Builder out, const store_update& n) {
   out.setNonce(n.nonce);
   out.setConfigRevision(n.config_revision);
   out.setConfigAgeMs(
@@ -271,8 +273,8 @@
     write_server(servers[i], n.servers[i]);
   }
   if (n.holder) write_holder(out.initHolder(), *n.holder);
-  write_places(out.initFarPlaces(n.far_places.size()), n.far_places);
-  out.setFarNodes(n.far_nodes);
+  write_places(out.initFarPlaces(n.remote_places.size()), n.remote_places);
+  out.setFarNodes(n.remote_nodes);
   out.setRequestsSeen(n.requests_seen);
   out.setAllServers(n.all_servers);
   if (n.evacuations) {
@@ -280,8 +282,8 @@
   }
 }
 
-news read_news(rpc::News::Reader in) {
-  news out;
+store_update read_news(rpc::News::Reader in) {
+  store_update out;
   out.nonce = in.getNonce();
   out.config_revision = in.getConfigRevision();
   out.config_age = absl::Milliseconds(in.getConfigAgeMs());
@@ -296,8 +298,8 @@
     out.servers.push_back(read_server(server));
   }
   if (in.hasHolder()) out.holder = read_holder(in.getHolder());
-  out.far_places = read_places(in.getFarPlaces());
-  out.far_nodes = static_cast<int>(in.getFarNodes());
+  out.remote_places = read_places(in.getFarPlaces());
+  out.remote_nodes = static_cast<int>(in.getFarNodes());
   out.requests_seen = in.getRequestsSeen();
   out.all_servers = in.getAllServers();
   if (in.hasEvacuations()) {
@@ -308,10 +310,10 @@
 
 void write_crashes(rpc::CrashReport::Builder out, const crash_report& r) {
   out.setDigest(r.digest);
-  out.setAsks(r.asks);
+  out.setAsks(r.wants_reply);
   auto list = out.initEvidence(r.evidence.size());
   for (size_t i = 0; i < r.evidence.size(); ++i) {
-    const crash_news& said = r.evidence[i];
+    const crash_update& said = r.evidence[i];
     list[i].setWorkspace(said.identity.workspace);
     list[i].setContent(said.identity.content);
     list[i].setPassed(said.evidence.passed);
@@ -332,9 +334,9 @@
 crash_report read_crashes(rpc::CrashReport::Reader in) {
   crash_report out;
   out.digest = in.getDigest();
-  out.asks = in.getAsks();
+  out.wants_reply = in.getAsks();
   for (const auto said : in.getEvidence()) {
-    crash_news one;
+    crash_update one;
     one.identity = {said.getWorkspace(), said.getContent()};
     one.evidence.passed = said.getPassed();
     one.age = absl::Milliseconds(said.getAgeMs());
@@ -359,28 +361,29 @@
   root.setCores(message.cores);
   if (const auto* g = std::get_if<gossip>(&message.content)) {
     write_gossip(root.initGossip(), *g);
-  } else if (const auto* r = std::get_if<news_request>(&message.content)) {
+  } else if (const auto* r =
+                 std::get_if<store_update_request>(&message.content)) {
     auto request = root.initNewsRequest();
     request.setNonce(r->nonce);
     request.setServersRevision(r->servers.known);
-    request.setServersToldAfter(r->servers.told_after);
-  } else if (const auto* n = std::get_if<news>(&message.content)) {
+    request.setServersToldAfter(r->servers.unapplied_after);
+  } else if (const auto* n = std::get_if<store_update>(&message.content)) {
     write_news(root.initNews(), *n);
   } else if (const auto* c = std::get_if<crash_report>(&message.content)) {
     write_crashes(root.initCrashReport(), *c);
-  } else if (const auto* w = std::get_if<cold_request>(&message.content)) {
+  } else if (const auto* w = std::get_if<grant_request>(&message.content)) {
     auto request = root.initColdRequest();
     request.setNonce(w->nonce);
     write_counts(request.initWanted(w->wanted.size()), w->wanted);
     write_limits(request.initLimits(w->limits.size()), w->limits);
-  } else if (const auto* a = std::get_if<cold_grant>(&message.content)) {
+  } else if (const auto* a = std::get_if<grant_response>(&message.content)) {
     auto grant = root.initColdGrant();
     grant.setNonce(a->nonce);
     write_counts(grant.initGranted(a->granted.size()), a->granted);
     write_limits(grant.initLimits(a->limits.size()), a->limits);
-  } else if (const auto* l = std::get_if<limit_news>(&message.content)) {
-    auto news = root.initLimitNews();
-    write_limits(news.initReports(l->reports.size()), l->reports);
+  } else if (const auto* l = std::get_if<limit_update>(&message.content)) {
+    auto store_update = root.initLimitNews();
+    write_limits(store_update.initReports(l->reports.size()), l->reports);
   } else {
     const auto& said = std::get<suspicion>(message.content);
     auto out = root.initSuspicion();
@@ -413,7 +416,7 @@
       message.content = read_gossip(root.getGossip());
     } else if (root.isNewsRequest()) {
       const auto request = root.getNewsRequest();
-      message.content = news_request{
+      message.content = store_update_request{
           request.getNonce(),
           {request.getServersRevision(), request.getServersToldAfter()}};
     } else if (root.isNews()) {
@@ -427,16 +430,16 @@
     } else if (root.isColdRequest()) {
       const auto request = root.getColdRequest();
       message.content =
-          cold_request{request.getNonce(), read_counts(request.getWanted()),
-                       read_limits(request.getLimits())};
+          grant_request{request.getNonce(), read_counts(request.getWanted()),
+                        read_limits(request.getLimits())};
     } else if (root.isColdGrant()) {
       const auto grant = root.getColdGrant();
       message.content =
-          cold_grant{grant.getNonce(), read_counts(grant.getGranted()),
-                     read_limits(grant.getLimits())};
+          grant_response{grant.getNonce(), read_counts(grant.getGranted()),
+                         read_limits(grant.getLimits())};
     } else if (root.isLimitNews()) {
       message.content =
-          limit_news{read_limits(root.getLimitNews().getReports())};
+          limit_update{read_limits(root.getLimitNews().getReports())};
     } else {
       return;
     }
--- a/src/node-metrics.cc
+++ b/src/node-metrics.cc
@@ -32,7 +32,7 @@
                        "requests refused for lack of room")),
       attempts(counter(registry, "spokesail_attempts_total",
                        "attempts at backend servers by their end")),
-      repeats(counter(registry, "spokesail_repeats_total",
+      retries(counter(registry, "spokesail_repeats_total",
                       "requests sent again, or refused by the budget")),
       store_calls(counter(registry, "spokesail_store_calls_total",
                           "calls to the platform's store")),
@@ -40,8 +40,8 @@
                      "orders to servers by kind and result")),
       peer_bytes(counter(registry, "spokesail_peer_bytes_total",
                          "bytes exchanged with other nodes")),
-      news_events(counter(registry, "spokesail_news_total",
-                          "changes of servers that nodes missed, by event")),
+      update_events(counter(registry, "spokesail_news_total",
+                            "changes of servers that nodes missed, by event")),
       unusable_entries(counter(registry, "spokesail_entries_unusable_total",
                                "servers' entries that name no server to use")),
       cold_requests(
@@ -86,9 +86,9 @@
   this->attempts.Add({{"end", end}}).Increment();
 }
 
-void node_metrics::count_repeat(const std::string& service,
-                                const std::string& event) {
-  this->repeats.Add({{"service", service}, {"event", event}}).Increment();
+void node_metrics::count_retry(const std::string& service,
+                               const std::string& event) {
+  this->retries.Add({{"service", service}, {"event", event}}).Increment();
 }
 
 void node_metrics::count_resume() { this->resumed.Increment(); }
@@ -123,8 +123,8 @@
   this->unusable_entries.Add({{"why", why}}).Increment();
 }
 
-void node_metrics::count_news(const std::string& event) {
-  this->news_events.Add({{"event", event}}).Increment();
+void node_metrics::count_update_event(const std::string& event) {
+  this->update_events.Add({{"event", event}}).Increment();
 }
 
 void node_metrics::observe_first_event(double seconds) {
--- a/src/node-metrics.h
+++ b/src/node-metrics.h
@@ -26,7 +26,7 @@
   /// A sending to a server that has ended.
   void count_attempt(const std::string& end);
   /// A request that was sent again, or that its service's budget refused.
-  void count_repeat(const std::string& service, const std::string& event);
+  void count_retry(const std::string& service, const std::string& event);
   /// A stream that another server goes on with.
   void count_resume();
   void count_store_call(const std::string& verb, const std::string& result);
@@ -37,7 +37,7 @@
   /// An entry that names no server to use.
   void count_unusable_entry(const std::string& why);
   /// Something that kept changes of servers from a node, or brought them again.
-  void count_news(const std::string& event);
+  void count_update_event(const std::string& event);
   /// An event of a request to a server with a rate limit.
   void count_limited(const std::string& event);
   /// Requests to cold servers that were asked for, granted, used or lost.
@@ -70,11 +70,11 @@
   prometheus::Family<prometheus::Counter>& requests;
   prometheus::Family<prometheus::Counter>& refusals;
   prometheus::Family<prometheus::Counter>& attempts;
-  prometheus::Family<prometheus::Counter>& repeats;
+  prometheus::Family<prometheus::Counter>& retries;
   prometheus::Family<prometheus::Counter>& store_calls;
   prometheus::Family<prometheus::Counter>& orders;
   prometheus::Family<prometheus::Counter>& peer_bytes;
-  prometheus::Family<prometheus::Counter>& news_events;
+  prometheus::Family<prometheus::Counter>& update_events;
   prometheus::Family<prometheus::Counter>& unusable_entries;
   prometheus::Family<prometheus::Counter>& cold_requests;
   prometheus::Family<prometheus::Counter>& limited_requests;
--- a/src/node-process.cc
+++ b/src/node-process.cc
@@ -24,20 +24,20 @@
 using net::ip::tcp;
 
 /// Descriptors that stay free for the store, orders and metrics.
-constexpr size_t spare_sockets = 64;
+constexpr size_t reserved_sockets = 64;
 
 /// The process ends this long before it would be killed.
-constexpr absl::Duration end_margin = absl::Milliseconds(400);
+constexpr absl::Duration exit_margin = absl::Milliseconds(400);
 
 /// Period of the check of sessions' limits and of kept connections.
-constexpr absl::Duration housekeeping = absl::Milliseconds(200);
+constexpr absl::Duration housekeeping_period = absl::Milliseconds(200);
 
 /// Period of the line that gives the calls to the store since the start. Each
 /// call is priced; this is often enough to see which kind grew in an incident.
 constexpr absl::Duration store_calls_period = absl::Seconds(5);
 
 /// Kept connections to servers and store rest at most this long.
-constexpr absl::Duration fetch_idle = absl::Seconds(4);
+constexpr absl::Duration fetch_idle_timeout = absl::Seconds(4);
 
 }  // namespace
 
@@ -57,7 +57,7 @@
       crashes(state, link),
       config(state),
       lease(state),
-      duty(state, lease),
+      group_runner(state, lease),
       cold(state, link, lease),
       limits(state, link),
       stalls(state) {}
@@ -73,14 +73,14 @@
          this->config.listen();
 }
 
-std::optional<holder_word> node_process::own_word() {
-  const auto lease_said = this->lease.word();
+std::optional<holder_state> node_process::own_holder_state() {
+  const auto lease_said = this->lease.snapshot();
   if (!lease_said) return std::nullopt;
-  holder_word next = this->duty.word();
+  holder_state next = this->group_runner.snapshot();
   next.lease = *lease_said;
-  next.sequence = this->last_word.sequence;
-  if (!(next == this->last_word)) ++next.sequence;
-  this->last_word = next;
+  next.sequence = this->published_holder_state.sequence;
+  if (!(next == this->published_holder_state)) ++next.sequence;
+  this->published_holder_state = next;
   return next;
 }
 
@@ -91,80 +91,87 @@
   this->link.on_request = [this](const std::string& peer, const auto& asked) {
     this->relay.answer(peer, asked);
   };
-  this->link.on_news = [this](const std::string& peer, const auto& said) {
+  this->link.on_store_update = [this](const std::string& peer,
+                                      const auto& said) {
     this->relay.take(peer, said);
   };
   this->link.on_crashes = [this](const std::string& peer, const auto& said) {
     this->crashes.take(peer, said);
   };
-  this->link.on_cold_request = [this](const std::string& peer,
-                                      const auto& asked) {
+  this->link.on_grant_request = [this](const std::string& peer,
+                                       const auto& asked) {
     this->cold.answer(peer, asked);
   };
-  this->link.on_cold_grant = [this](const std::string& peer, const auto& said) {
+  this->link.on_grant_response = [this](const std::string& peer,
+                                        const auto& said) {
     this->cold.take(peer, said);
   };
-  this->link.on_limit_news = [this](const std::string& peer, const auto& said) {
+  this->link.on_limit_update = [this](const std::string& peer,
+                                      const auto& said) {
     this->limits.take(peer, said);
   };
   this->link.on_suspicion = [this](const suspicion& said) {
-    for (const auto& id : said.servers) this->duty.suspect(id);
-    this->stalls.hear(said);
+    for (const auto& id : said.servers) this->group_runner.suspect(id);
+    this->stalls.on_peer_suspicion(said);
   };
 }
 
-void node_process::connect_duty() {
+void node_process::connect_group_runner() {
   this->lease.candidates = [this] { return this->gossip.lease_candidates(); };
-  this->gossip.own_word = [this] { return this->own_word(); };
+  this->gossip.own_holder_state = [this] { return this->own_holder_state(); };
   this->gossip.holder = [this] { return this->lease.holder(); };
-  this->gossip.on_lease = [this](const lease_word& word) {
-    this->lease.observe(word);
+  this->gossip.on_lease = [this](const lease_snapshot& snapshot) {
+    this->lease.observe(snapshot);
   };
   this->gossip.on_suspect = [this](const std::string& id) {
-    this->duty.suspect(id);
+    this->group_runner.suspect(id);
   };
   this->stalls.on_loss = [this](const suspicion& said) {
     this->link.send_all(said, false);
   };
   this->stalls.on_suspect = [this](const std::string& id) {
-    this->duty.suspect(id);
+    this->group_runner.suspect(id);
   };
 }
 
 void node_process::connect_store() {
   this->relay.holder = [this] { return this->lease.holder(); };
-  this->relay.add_words = [this](news& out) { this->gossip.add_to(out); };
-  this->relay.on_words = [this](const news& said) {
-    this->gossip.take_relayed(said);
+  this->relay.fill_update = [this](store_update& out) {
+    this->gossip.fill_update(out);
+  };
+  this->relay.on_update = [this](const store_update& said) {
+    this->gossip.apply_relayed(said);
   };
   this->relay.on_config = [this](int64_t revision) {
-    this->sync.read_config(revision);
+    this->sync.request_config(revision);
   };
   this->relay.on_servers = [this] { this->relay.push(); };
-  this->sync.watches = [this] { return this->relay.watches_store(); };
-  this->sync.relied_on = [this] { return this->relay.relied_on(); };
+  this->sync.watches_directly = [this] { return this->relay.watches_store(); };
+  this->sync.may_have_followers = [this] {
+    return this->relay.may_have_followers();
+  };
   this->sync.on_change = [this] { this->relay.push(); };
-  this->sync.awaits_servers = [this] { return this->relay.awaits_servers(); };
-  this->sync.awaits_evacuations = [this] {
-    return this->relay.awaits_evacuations();
+  this->sync.expects_servers = [this] { return this->relay.expects_servers(); };
+  this->sync.expects_evacuations = [this] {
+    return this->relay.expects_evacuations();
   };
-  this->sync.ask_peer = [this] {
+  this->sync.fetch_from_peer = [this] {
     const std::string source = this->relay.config_source();
-    return this->config.read_from(this->link.address_of(source));
+    return this->config.fetch_from(this->link.address_of(source));
   };
-  this->sync.urgent = [this] { return this->lease.holds(); };
+  this->sync.low_latency_needed = [this] { return this->lease.holds(); };
 }
 
 void node_process::start() {
   this->connect_messages();
-  this->connect_duty();
+  this->connect_group_runner();
   this->connect_store();
   this->spawn(this->sync.follow_config());
   this->spawn(this->sync.follow_servers());
-  if (this->settings.bounds.evacuate_time) {
+  if (this->settings.bounds.evacuate_deadline) {
     this->spawn(this->sync.follow_evacuations());
   }
-  this->spawn(this->link.keep_peers());
+  this->spawn(this->link.maintain_peers());
   this->spawn(this->link.receive());
   this->spawn(this->config.serve());
   this->spawn(this->gossip.run());
@@ -172,10 +179,10 @@
   this->spawn(this->crashes.run());
   this->spawn(this->limits.run());
   this->spawn(this->lease.run());
-  this->spawn(this->duty.run());
+  this->spawn(this->group_runner.run());
   this->spawn(this->accept_callers());
-  this->spawn(this->serve_small(this->readiness, true));
-  this->spawn(this->serve_small(this->metrics, false));
+  this->spawn(this->serve_admin(this->readiness, true));
+  this->spawn(this->serve_admin(this->metrics, false));
   this->spawn(this->tick());
 }
 
@@ -188,14 +195,14 @@
     auto [error, socket] = co_await this->callers.async_accept(use_tuple);
     if (error == net::error::operation_aborted) co_return;
     if (error) {
-      this->log.belief("accept_failed", {{"why", error.message()}},
-                       this->state.now());
+      this->log.state_change("accept_failed", {{"why", error.message()}},
+                             this->state.now());
       co_await this->state.sleep(node_timing::tick);
       continue;
     }
     const size_t used = this->state.sessions.size() +
                         this->state.exchanges.size() + this->state.pool.size() +
-                        spare_sockets;
+                        reserved_sockets;
     if (used >= static_cast<size_t>(this->settings.max_sockets)) continue;
     boost::system::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
@@ -208,7 +215,7 @@
   }
 }
 
-net::awaitable<void> node_process::serve_small(tcp::acceptor& acceptor,
+net::awaitable<void> node_process::serve_admin(tcp::acceptor& acceptor,
                                                bool ready) {
   for (;;) {
     auto [error, socket] = co_await acceptor.async_accept(use_tuple);
@@ -217,12 +224,12 @@
       co_await this->state.sleep(node_timing::tick);
       continue;
     }
-    net::co_spawn(this->loop, this->answer_small(std::move(socket), ready),
+    net::co_spawn(this->loop, this->answer_admin(std::move(socket), ready),
                   net::detached);
   }
 }
 
-net::awaitable<void> node_process::answer_small(tcp::socket socket,
+net::awaitable<void> node_process::answer_admin(tcp::socket socket,
                                                 bool ready) {
   boost::beast::flat_buffer buffer;
   for (;;) {
@@ -273,13 +280,14 @@
                   std::min(this->state.age().servers, absl::Hours(1))));
   this->set_evacuation_gauges();
   this->cold.set_gauges();
-  m.set_gauge("log_lines_left_out", static_cast<double>(this->log.left_out()));
+  m.set_gauge("log_lines_left_out",
+              static_cast<double>(this->log.omitted_lines()));
 }
 
 void node_process::set_evacuation_gauges() {
-  if (!this->settings.bounds.evacuate_time) return;
+  if (!this->settings.bounds.evacuate_deadline) return;
   const absl::Time now = this->state.now();
-  const evacuation_word known = this->state.evacuations.word(now);
+  const evacuation_snapshot known = this->state.evacuations.snapshot(now);
   node_metrics& m = this->state.metrics;
   m.set_gauge("halls_evacuated", static_cast<double>(known.halls.size()));
   m.set_gauge("evacuations_age_seconds",
@@ -287,32 +295,32 @@
 }
 
 net::awaitable<void> node_process::tick() {
-  absl::Time kept_house = absl::InfinitePast();
+  absl::Time last_housekeeping = absl::InfinitePast();
   absl::Time last = this->state.now();
   for (;;) {
     co_await this->state.sleep(node_timing::tick);
     const absl::Time now = this->state.now();
-    this->state.note_tick(now - last - node_timing::tick);
+    this->state.record_loop_delay(now - last - node_timing::tick);
     last = now;
     this->stalls.check(now);
     this->cold.step();
-    if (now - kept_house >= housekeeping) {
-      kept_house = now;
-      this->keep_house(now);
+    if (now - last_housekeeping >= housekeeping_period) {
+      last_housekeeping = now;
+      this->run_housekeeping(now);
     }
-    if (this->may_end(now) && this->on_end) this->on_end();
+    if (this->can_exit(now) && this->on_exit) this->on_exit();
   }
 }
 
-void node_process::keep_house(absl::Time now) {
+void node_process::run_housekeeping(absl::Time now) {
   const auto sessions = this->state.sessions;
   for (caller_session* session : sessions) session->check_limit(now);
   this->state.pool.expire(now);
-  this->fetcher.close_idle(fetch_idle, now);
-  std::erase_if(this->state.avoid,
+  this->fetcher.close_idle(fetch_idle_timeout, now);
+  std::erase_if(this->state.avoided_until,
                 [&](const auto& item) { return item.second <= now; });
-  if (this->state.directory.expire(now, this->state.servers_proof)) {
-    this->state.forget_groups();
+  if (this->state.directory.expire(now, this->state.servers_verified_at)) {
+    this->state.invalidate_group_cache();
   }
   const auto exists = [this](const server_instance& instance) {
     const server_entry* entry = this->state.directory.find(instance.server);
@@ -337,15 +345,16 @@
   for (const auto& [verb, count] : this->state.metrics.store_calls_by_verb()) {
     fields.push_back({verb, absl::StrCat(count)});
   }
-  this->log.belief("store_calls", fields, now);
+  this->log.state_change("store_calls", fields, now);
 }
 
 void node_process::log_servers_age(absl::Time now) {
   const news_age age = this->state.age();
-  const bool late = servers_late(age, this->settings.bounds);
-  if (!this->state.directory_listed || late == this->servers_were_late) return;
-  this->servers_were_late = late;
-  this->log.belief(
+  const bool late = servers_stale(age, this->settings.bounds);
+  if (!this->state.directory_listed || late == this->logged_servers_late)
+    return;
+  this->logged_servers_late = late;
+  this->log.state_change(
       late ? "servers_late" : "servers_in_time",
       {{"age_ms", absl::StrCat(absl::ToInt64Milliseconds(age.servers))},
        {"rev", absl::StrCat(this->state.directory.revision())}},
@@ -353,14 +362,15 @@
 }
 
 void node_process::log_closed_halls(absl::Time now) {
-  auto closed = this->state.evacuations.closed_halls(this->state.servers_proof);
-  if (closed == this->halls_were_closed) return;
-  this->halls_were_closed = std::move(closed);
+  auto closed =
+      this->state.evacuations.closed_halls(this->state.servers_verified_at);
+  if (closed == this->logged_closed_halls) return;
+  this->logged_closed_halls = std::move(closed);
   const news_age age = this->state.age();
-  this->log.belief(
+  this->log.state_change(
       "halls_closed",
-      {{"halls", absl::StrJoin(this->halls_were_closed, ",")},
-       {"rev", absl::StrCat(this->state.evacuations.word(now).revision)},
+      {{"halls", absl::StrJoin(this->logged_closed_halls, ",")},
+       {"rev", absl::StrCat(this->state.evacuations.snapshot(now).revision)},
        {"age_ms", absl::StrCat(absl::ToInt64Milliseconds(age.evacuations))},
        {"servers_rev", absl::StrCat(this->state.directory.revision())},
        {"servers_age_ms",
@@ -370,9 +380,9 @@
 
 void node_process::log_readiness(absl::Time now) {
   const bool ready = this->state.ready();
-  if (ready == this->was_ready) return;
-  this->was_ready = ready;
-  this->log.belief(
+  if (ready == this->logged_ready) return;
+  this->logged_ready = ready;
+  this->log.state_change(
       ready ? "ready" : "not_ready",
       {{"config_age_ms",
         absl::StrCat(absl::ToInt64Milliseconds(this->state.config_age()))},
@@ -382,10 +392,10 @@
       now);
 }
 
-bool node_process::may_end(absl::Time now) const {
+bool node_process::can_exit(absl::Time now) const {
   if (!this->state.stopping()) return false;
   const absl::Duration since = now - this->state.stopping_since;
-  if (since >= this->settings.stop_grace - end_margin) return true;
+  if (since >= this->settings.stop_grace - exit_margin) return true;
   return this->state.closing() && this->state.sessions.empty();
 }
 
@@ -393,11 +403,12 @@
   if (this->state.stopping()) return;
   this->state.stopping_since = this->state.now();
   this->lease.stop();
-  this->log.belief("stopping",
-                   {{"why", why},
-                    {"sessions", absl::StrCat(this->state.sessions.size())},
-                    {"exchanges", absl::StrCat(this->state.exchanges.size())}},
-                   this->state.now());
+  this->log.state_change(
+      "stopping",
+      {{"why", why},
+       {"sessions", absl::StrCat(this->state.sessions.size())},
+       {"exchanges", absl::StrCat(this->state.exchanges.size())}},
+      this->state.now());
 }
 
 }  // namespace spokesail
--- a/src/node-process.h
+++ b/src/node-process.h
@@ -13,20 +13,20 @@
 #include <string>
 #include <vector>
 
-#include "cold-gossip.h"
-#include "config-share.h"
 #include "crash-gossip.h"
-#include "group-duty.h"
+#include "grant-coordinator.h"
+#include "group-controller-runner.h"
 #include "http-fetch.h"
-#include "lease-keeper.h"
+#include "lease-manager.h"
 #include "limit-gossip.h"
-#include "news-relay.h"
 #include "node-context.h"
 #include "node-gossip.h"
+#include "peer-config-service.h"
 #include "peer-link.h"
 #include "spokesail/object-store.h"
 #include "spokesail/platform-adapter.h"
-#include "stall-watch.h"
+#include "stall-detector.h"
+#include "store-relay.h"
 #include "store-sync.h"
 
 namespace spokesail {
@@ -43,11 +43,11 @@
   /// Starts all parts.
   void start();
 
-  /// Begins to stop; `on_end` is called when the process may end.
+  /// Begins to stop; `on_exit` is called when the process may end.
   void stop(const std::string& why);
 
   /// Called once a stop is done.
-  std::function<void()> on_end;
+  std::function<void()> on_exit;
 
   /// The node's state, for tests.
   node_context& context() { return this->state; }
@@ -58,27 +58,27 @@
 
  private:
   /// What this node says as the holder of the lease; nothing if it is not.
-  std::optional<holder_word> own_word();
+  std::optional<holder_state> own_holder_state();
   /// Hands messages of peers to the parts that they are for.
   void connect_messages();
   /// Tells the parts that form groups of the others.
-  void connect_duty();
+  void connect_group_runner();
   /// Tells the parts that follow the store of the others.
   void connect_store();
   void spawn(boost::asio::awaitable<void> task);
   /// Takes callers' connections while there are descriptors for them.
   boost::asio::awaitable<void> accept_callers();
   /// Serves the address of readiness (if `ready` is set) or of metrics.
-  boost::asio::awaitable<void> serve_small(
+  boost::asio::awaitable<void> serve_admin(
       boost::asio::ip::tcp::acceptor& acceptor, bool ready);
-  boost::asio::awaitable<void> answer_small(boost::asio::ip::tcp::socket socket,
+  boost::asio::awaitable<void> answer_admin(boost::asio::ip::tcp::socket socket,
                                             bool ready);
   /// Has the parts look at their limits, again and again.
   boost::asio::awaitable<void> tick();
   void set_gauges();
   void set_evacuation_gauges();
   /// Ends what has rested or been kept for too long, and logs readiness.
-  void keep_house(absl::Time now);
+  void run_housekeeping(absl::Time now);
   void log_readiness(absl::Time now);
   /// Logs that this node may be late to learn of a server's leave, or no more.
   void log_servers_age(absl::Time now);
@@ -87,7 +87,7 @@
   /// Logs how often the store was called, once in a while.
   void log_store_calls(absl::Time now);
   /// Whether a node that was told to stop has nothing left to do, or no time.
-  bool may_end(absl::Time now) const;
+  bool can_exit(absl::Time now) const;
 
   const node_settings& settings;
   boost::asio::io_context& loop;
@@ -99,27 +99,27 @@
   store_sync sync;
   peer_link link;
   node_gossip gossip;
-  news_relay relay;
+  store_relay relay;
   crash_gossip crashes;
-  config_share config;
-  lease_keeper lease;
-  group_duty duty;
-  cold_gossip cold;
+  peer_config_service config;
+  lease_manager lease;
+  group_controller_runner group_runner;
+  grant_coordinator cold;
   limit_gossip limits;
-  stall_watch stalls;
+  stall_detector stalls;
   boost::asio::ip::tcp::acceptor callers{loop};
   boost::asio::ip::tcp::acceptor readiness{loop};
   boost::asio::ip::tcp::acceptor metrics{loop};
   /// Readiness at the last look, so that only changes are logged.
-  bool was_ready = false;
+  bool logged_ready = false;
   /// Whether the list of servers was too old at the last look.
-  bool servers_were_late = false;
+  bool logged_servers_late = false;
   /// The data halls that got no requests at the last look.
-  std::set<std::string> halls_were_closed;
+  std::set<std::string> logged_closed_halls;
   /// When the calls to the store were last logged.
   absl::Time store_calls_logged = absl::InfinitePast();
   /// The last word as the holder of the lease.
-  holder_word last_word;
+  holder_state published_holder_state;
 };
 
 }  // namespace spokesail
--- a/src/node-request.cc
+++ b/src/node-request.cc
@@ -8,10 +8,10 @@
 
 /// A member may be out of sight for this long before the attempts that run
 /// at its group are given up.
-constexpr absl::Duration attempt_patience = absl::Seconds(1);
+constexpr absl::Duration member_loss_grace = absl::Seconds(1);
 
 /// What callers are told when nothing better is known.
-constexpr absl::Duration default_reopen = absl::Seconds(10);
+constexpr absl::Duration default_retry_after = absl::Seconds(10);
 
 int share_of(int capacity, size_t nodes) {
   const int n = std::max(static_cast<int>(nodes), 1);
@@ -24,14 +24,14 @@
   return this->s.config ? &*this->s.config : nullptr;
 }
 
-std::vector<open_place> node_step::open_places(
+std::vector<open_target> node_step::open_places(
     target_kind kind, const std::string& target) const {
-  std::vector<open_place> places;
+  std::vector<open_target> places;
   if (!this->s.config) return places;
   const size_t nodes = this->s.members.alive_in_hall(this->now).size();
   const auto add = [&](attempt_target t, const std::string& host,
                        int capacity) {
-    open_place place;
+    open_target place;
     place.target = std::move(t);
     place.capacity = capacity;
     place.share = share_of(capacity, nodes);
@@ -72,7 +72,8 @@
   return places;
 }
 
-bool node_step::holds(target_kind kind, const attempt_target& target) const {
+bool node_step::can_complete(target_kind kind,
+                             const attempt_target& target) const {
   // A plain service's broken connection tells all there is to know.
   if (kind == target_kind::service) return true;
   for (const auto& g : this->s.groups.groups) {
@@ -81,7 +82,7 @@
     return std::all_of(g.hosts.begin(), g.hosts.end(), [&](const auto& host) {
       const auto lost = this->s.lost_since.find(host);
       return lost == this->s.lost_since.end() ||
-             this->now - lost->second < attempt_patience;
+             this->now - lost->second < member_loss_grace;
     });
   }
   return false;
@@ -99,8 +100,8 @@
   return found;
 }
 
-absl::Duration node_step::reopen_guess(const std::string&) const {
-  return default_reopen;
+absl::Duration node_step::estimated_reopen(const std::string&) const {
+  return default_retry_after;
 }
 
 void node_step::emit_requests(request_actions& actions) {
@@ -121,7 +122,7 @@
   this->emit_requests(actions);
 }
 
-void node_step::note_unreachable(const attempt_event& e) {
+void node_step::record_unreachable(const attempt_event& e) {
   const auto target = this->s.requests.where(e.request, e.attempt);
   if (!target || target->remote_hall) return;
   for (const auto& [name, info] : this->s.hosts) {
@@ -129,11 +130,11 @@
       this->s.presence.note_failure(name, this->now);
     }
   }
-  this->note_open_groups();
+  this->update_open_groups();
 }
 
 void node_step::on(const attempt_event& e) {
-  if (e.unreachable) this->note_unreachable(e);
+  if (e.unreachable) this->record_unreachable(e);
   request_actions actions;
   this->s.requests.attempt_ended(e.request, e.attempt, e.end, *this,
                                  this->s.random, this->now, actions);
@@ -150,7 +151,7 @@
   if (this->s.stopping) return;
   this->s.stopping = true;
   this->s.stop_at = this->now + this->s.options.stop_delay;
-  this->s.beat_now = true;
+  this->s.heartbeat_due = true;
   this->log("stopping", {});
 }
 
@@ -166,7 +167,7 @@
 bool node_step::ready() const {
   if (!this->s.config || this->s.stopping) return false;
   const absl::Duration age = this->now - this->s.started;
-  if (age < 2 * this->s.options.beat_period) return false;
+  if (age < 2 * this->s.options.heartbeat_period) return false;
   for (const auto& [name, m] : this->s.members.all()) {
     if (m.info.hall != this->s.options.self.hall) continue;
     const bool behind = m.revision > this->s.revision;
--- a/src/node-settings.cc
+++ b/src/node-settings.cc
@@ -5,42 +5,44 @@
 namespace spokesail {
 namespace {
 
-constexpr double longest_s = 3600;
+constexpr double max_seconds = 3600;
 
 constexpr size_t bytes_per_mb = size_t{1} << 20;
 
 /// Part of the time for which a server that has announced its stop serves on
 /// that its group may use: the rest is for the end of running streams.
-constexpr double hold_share = 0.7;
+constexpr double leave_hold_fraction = 0.7;
 
 absl::Duration seconds(yaml_map& map, const std::string& key,
                        absl::Duration fallback) {
   return absl::Seconds(
-      map.number(key, absl::ToDoubleSeconds(fallback), 0.001, longest_s));
+      map.number(key, absl::ToDoubleSeconds(fallback), 0.001, max_seconds));
 }
 
 absl::Duration milliseconds(yaml_map& map, const std::string& key,
                             absl::Duration fallback) {
   return absl::Milliseconds(map.number(
-      key, absl::ToDoubleMilliseconds(fallback), 1, longest_s * 1000));
+      key, absl::ToDoubleMilliseconds(fallback), 1, max_seconds * 1000));
 }
 
 void read_bounds(yaml_map bounds, node_settings& out) {
-  news_bounds& news = out.bounds;
-  news.config_time = milliseconds(bounds, "config_ms", news.config_time);
-  news.revoke_time = milliseconds(bounds, "revoke_ms", news.revoke_time);
-  news.drain_time = milliseconds(bounds, "drain_ms", news.drain_time);
+  staleness_bounds& news = out.bounds;
+  news.config_deadline =
+      milliseconds(bounds, "config_ms", news.config_deadline);
+  news.revoke_deadline =
+      milliseconds(bounds, "revoke_ms", news.revoke_deadline);
+  news.drain_deadline = milliseconds(bounds, "drain_ms", news.drain_deadline);
   out.keys_fail_closed =
       bounds.boolean("keys_fail_closed", out.keys_fail_closed);
   out.stop_grace = seconds(bounds, "stop_grace_s", out.stop_grace);
-  out.repeats.ratio = bounds.number("repeat_ratio", out.repeats.ratio, 0, 10);
-  out.repeats.window = seconds(bounds, "repeat_window_s", out.repeats.window);
-  out.repeats.slack = bounds.number("repeat_slack", out.repeats.slack, 0, 1e9);
+  out.retries.ratio = bounds.number("repeat_ratio", out.retries.ratio, 0, 10);
+  out.retries.window = seconds(bounds, "repeat_window_s", out.retries.window);
+  out.retries.slack = bounds.number("repeat_slack", out.retries.slack, 0, 1e9);
   const absl::Duration none = absl::ZeroDuration();
   const absl::Duration evacuate = milliseconds(bounds, "evacuate_ms", none);
-  if (evacuate > none) news.evacuate_time = evacuate;
+  if (evacuate > none) news.evacuate_deadline = evacuate;
   group_controller_options& groups = out.groups;
-  groups.leave_hold = hold_share * news.drain_time;
+  groups.leaving_member_grace = leave_hold_fraction * news.drain_deadline;
   groups.load_window = seconds(bounds, "load_window_s", groups.load_window);
   groups.load_excess = bounds.number("load_excess", groups.load_excess, 0, 10);
   bounds.finish();
@@ -69,9 +71,9 @@
   // A node whose holder of duties is gone takes over within this and the
   // spread; shorter leases cost store writes, longer ones group downtime.
   out.lease.duration = absl::Milliseconds(2200);
-  out.lease.renew_every = absl::Milliseconds(700);
+  out.lease.renew_period = absl::Milliseconds(700);
   out.lease.margin = absl::Milliseconds(500);
-  out.lease.takeover_spread = absl::Milliseconds(400);
+  out.lease.takeover_jitter = absl::Milliseconds(400);
   yaml_map root(load_yaml(file, error.faults), file, "", error.faults);
   if (!error.faults.empty()) return boost::leaf::new_error(std::move(error));
   out.node = root.name("node");
--- a/src/node-settings.h
+++ b/src/node-settings.h
@@ -9,10 +9,10 @@
 
 #include "spokesail/group-controller.h"
 #include "spokesail/lease.h"
-#include "spokesail/news-age.h"
 #include "spokesail/node-policy.h"
-#include "spokesail/repeat-budget.h"
+#include "spokesail/retry-budget.h"
 #include "spokesail/settings.h"
+#include "spokesail/staleness.h"
 
 namespace spokesail {
 
@@ -36,14 +36,14 @@
   /// Bytes of memory that the process may take; 0 if that is not known.
   size_t memory = 0;
   /// How old news of the platform's store may become.
-  news_bounds bounds;
+  staleness_bounds bounds;
   /// Whether requests with keys are refused once a node cannot tell if a key
   /// was taken away. If not, a node that is cut off serves on with the keys it
   /// knows.
   bool keys_fail_closed = true;
   /// The process is killed this long after it was asked to stop.
   absl::Duration stop_grace = absl::Seconds(8);
-  repeat_limits repeats;
+  retry_limits retries;
   node_policy policy;
   group_controller_options groups;
   lease_timing lease;
--- a/src/node-status.cc
+++ b/src/node-status.cc
@@ -89,7 +89,7 @@
   gauges_effect g;
   g.ready = this->ready();
   g.revision = this->s.revision;
-  for (const auto& [name, open] : this->s.open_before) g.open_groups += open;
+  for (const auto& [name, open] : this->s.was_open) g.open_groups += open;
   g.stranded_accelerators = this->stranded_accelerators();
   g.members = static_cast<int>(this->s.members.alive_in_hall(this->now).size());
   g.queued = static_cast<int>(this->s.requests.queued());
--- a/src/node-view.cc
+++ b/src/node-view.cc
@@ -78,7 +78,7 @@
   if (head.revision <= this->s.revision) return;
   const auto bundle = this->s.view.find({kinds::bundle, head.digest});
   if (!bundle) {
-    if (this->s.watching) this->ask_for_bundle();
+    if (this->s.watching) this->request_bundle();
     return;
   }
   const json body = json::parse(bundle->body, nullptr, false);
@@ -90,21 +90,21 @@
   this->s.config = body["bundle"].get<configuration>();
   this->s.revision = head.revision;
   this->s.config_digest = head.digest;
-  this->s.beat_now = true;
+  this->s.heartbeat_due = true;
   this->log("config_in_force", {{"revision", std::to_string(head.revision)},
                                 {"digest", head.digest},
                                 {"operator", head.operator_name}});
 }
 
-void node_step::ask_for_bundle() {
+void node_step::request_bundle() {
   const auto head_object = this->s.view.find({kinds::config, "head"});
   if (!head_object) return;
-  if (this->now < this->s.bundle_asked_at + bundle_retry) return;
+  if (this->now < this->s.bundle_requested_at + bundle_retry) return;
   const json spec = json::parse(head_object->body, nullptr, false);
   if (!spec.is_object()) return;
   const auto head = spec.get<config_head>();
   if (head.revision <= this->s.revision) return;
-  this->s.bundle_asked_at = this->now;
+  this->s.bundle_requested_at = this->now;
   this->emit(
       platform_effect{call_owner::bundle,
                       {call_kind::read, {kinds::bundle, head.digest}, 0, {}}});
@@ -122,7 +122,7 @@
   }
   std::vector<std::string> names;
   for (const auto& [host, info] : this->s.hosts) names.push_back(host);
-  this->s.presence.keep_only(names);
+  this->s.presence.retain_hosts(names);
   this->assign_probes();
 }
 
@@ -134,11 +134,11 @@
     this->s.groups = spec.get<placement>();
   }
   this->s.placement_version = o.version;
-  this->note_open_groups();
+  this->update_open_groups();
 }
 
 void node_step::on(const object_event& e) {
-  this->s.heard_platform = this->now;
+  this->s.last_platform_contact = this->now;
   if (e.seen.key.kind == kinds::lease) {
     if (e.seen.key.name == this->s.options.self.hall) {
       this->s.hall_controller.hall_lease().observe(e.seen, this->now,
@@ -150,8 +150,8 @@
 }
 
 void node_step::on(const list_event& e) {
-  this->s.heard_platform = this->now;
-  this->s.poll_out = false;
+  this->s.last_platform_contact = this->now;
+  this->s.poll_pending = false;
   if (e.kind == kinds::lease) {
     bool found = false;
     for (const auto& o : e.objects) {
@@ -189,17 +189,17 @@
     this->emit(watch_effect{watch});
     this->log("watching", {{"enabled", watch ? "true" : "false"}});
   }
-  this->ask_for_bundle();
+  this->request_bundle();
   bool watcher_heard = false;
   for (const auto& name : chosen) {
     watcher_heard |= name != this->s.options.self.name;
   }
-  if (watcher_heard && !watch) this->s.heard_platform = this->now;
+  if (watcher_heard && !watch) this->s.last_platform_contact = this->now;
   const bool quiet =
-      this->now - this->s.heard_platform > this->s.options.poll_after;
-  if (quiet && !watch && !this->s.poll_out) {
-    this->s.poll_out = true;
-    this->s.heard_platform = this->now;
+      this->now - this->s.last_platform_contact > this->s.options.poll_after;
+  if (quiet && !watch && !this->s.poll_pending) {
+    this->s.poll_pending = true;
+    this->s.last_platform_contact = this->now;
     this->emit(poll_effect{});
   }
   for (const auto& [name, known] : this->s.members.all()) {
--- a/src/node.cc
+++ b/src/node.cc
@@ -14,14 +14,14 @@
 
 namespace net = boost::asio;
 
-net::awaitable<void> take_signals(net::signal_set& signals, node_log& log,
-                                  node_process& process) {
+net::awaitable<void> handle_signals(net::signal_set& signals, node_log& log,
+                                    node_process& process) {
   for (;;) {
     auto [error, number] = co_await signals.async_wait(detail::use_tuple);
     if (error) co_return;
     if (number == SIGHUP) {
       // Nothing in a node's settings changes while it runs.
-      log.belief("reload", {{"effect", "none"}}, boot_now());
+      log.state_change("reload", {{"effect", "none"}}, boot_now());
       continue;
     }
     process.stop("signal " + std::to_string(number));
@@ -38,15 +38,15 @@
   // Open connections end with the process; their coroutines, which are never
   // resumed, hold on to the node until then.
   auto* process = new node_process(settings, loop, log);  // NOLINT
-  log.belief("start",
-             {{"hall", settings.hall}, {"callers", settings.caller_address}},
-             boot_now());
+  log.state_change(
+      "start", {{"hall", settings.hall}, {"callers", settings.caller_address}},
+      boot_now());
   if (!process->listen()) return 1;
-  process->on_end = [&loop] { loop.stop(); };
+  process->on_exit = [&loop] { loop.stop(); };
   process->start();
-  net::co_spawn(loop, take_signals(signals, log, *process), net::detached);
+  net::co_spawn(loop, handle_signals(signals, log, *process), net::detached);
   loop.run();
-  log.belief("stop", {}, boot_now());
+  log.state_change("stop", {}, boot_now());
   return 0;
 }
 
--- a/src/peer-codec.cc
+++ b/src/peer-codec.cc
@@ -30,7 +30,8 @@
   return out;
 }
 
-void write_word(rpc::HostWord::Builder out, const host_word& word) {
+void write_host_observation(rpc::HostWord::Builder out,
+                            const host_observation& word) {
   out.setHost(word.host);
   out.setReachable(word.reachable);
   out.setAt(absl::ToUnixNanos(word.at));
@@ -45,8 +46,8 @@
   out.setBoot(word.report.boot);
 }
 
-host_word read_word(rpc::HostWord::Reader in) {
-  host_word word;
+host_observation read_host_observation(rpc::HostWord::Reader in) {
+  host_observation word;
   word.host = in.getHost();
   word.reachable = in.getReachable();
   word.at = absl::FromUnixNanos(in.getAt());
@@ -65,7 +66,7 @@
 
 }  // namespace
 
-void write_beat(rpc::Beat::Builder out, const beat& b) {
+void write_heartbeat(rpc::Beat::Builder out, const heartbeat& b) {
   write_member(out.initFrom(), b.from);
   out.setBoot(b.boot);
   out.setSequence(b.sequence);
@@ -74,11 +75,12 @@
   out.setViewDigest(b.view_digest);
   out.setReady(b.ready);
   out.setStopping(b.stopping);
-  out.setWordsEpoch(b.words_epoch);
+  out.setWordsEpoch(b.observations_epoch);
   out.setProbedAt(absl::ToUnixNanos(b.probed_at));
-  out.setHasWords(b.has_words);
-  auto words = out.initWords(count_of(b.words.size()));
-  for (unsigned i = 0; i < words.size(); i++) write_word(words[i], b.words[i]);
+  out.setHasWords(b.has_observations);
+  auto observations = out.initWords(count_of(b.observations.size()));
+  for (unsigned i = 0; i < observations.size(); i++)
+    write_host_observation(observations[i], b.observations[i]);
   auto loads = out.initLoads(count_of(b.loads.size()));
   for (unsigned i = 0; i < loads.size(); i++) {
     loads[i].setHost(b.loads[i].host);
@@ -89,8 +91,8 @@
               b.open_models);
 }
 
-beat read_beat(rpc::Beat::Reader in) {
-  beat b;
+heartbeat read_heartbeat(rpc::Beat::Reader in) {
+  heartbeat b;
   b.from = read_member(in.getFrom());
   b.boot = in.getBoot();
   b.sequence = in.getSequence();
@@ -99,10 +101,11 @@
   b.view_digest = in.getViewDigest();
   b.ready = in.getReady();
   b.stopping = in.getStopping();
-  b.words_epoch = in.getWordsEpoch();
+  b.observations_epoch = in.getWordsEpoch();
   b.probed_at = absl::FromUnixNanos(in.getProbedAt());
-  b.has_words = in.getHasWords();
-  for (const auto word : in.getWords()) b.words.push_back(read_word(word));
+  b.has_observations = in.getHasWords();
+  for (const auto word : in.getWords())
+    b.observations.push_back(read_host_observation(word));
   for (const auto load : in.getLoads()) {
     b.loads.push_back({load.getHost(),
                        {static_cast<int>(load.getRunning()),
@@ -112,11 +115,11 @@
   return b;
 }
 
-void write_ack(rpc::BeatAck::Builder out, const beat_ack& ack) {
+void write_ack(rpc::BeatAck::Builder out, const heartbeat_ack& ack) {
   write_member(out.initFrom(), ack.from);
   out.setBoot(ack.boot);
   out.setTaken(absl::ToUnixNanos(ack.taken));
-  out.setWordsEpoch(ack.words_epoch);
+  out.setWordsEpoch(ack.observations_epoch);
   out.setRevision(ack.revision);
   out.setReady(ack.ready);
   out.setStopping(ack.stopping);
@@ -124,12 +127,12 @@
               ack.open_models);
 }
 
-beat_ack read_ack(rpc::BeatAck::Reader in) {
-  beat_ack ack;
+heartbeat_ack read_ack(rpc::BeatAck::Reader in) {
+  heartbeat_ack ack;
   ack.from = read_member(in.getFrom());
   ack.boot = in.getBoot();
   ack.taken = absl::FromUnixNanos(in.getTaken());
-  ack.words_epoch = in.getWordsEpoch();
+  ack.observations_epoch = in.getWordsEpoch();
   ack.revision = in.getRevision();
   ack.ready = in.getReady();
   ack.stopping = in.getStopping();
--- a/src/peer-codec.h
+++ b/src/peer-codec.h
@@ -8,10 +8,10 @@
 
 namespace spokesail {
 
-void write_beat(rpc::Beat::Builder out, const beat& b);
-beat read_beat(rpc::Beat::Reader in);
-void write_ack(rpc::BeatAck::Builder out, const beat_ack& ack);
-beat_ack read_ack(rpc::BeatAck::Reader in);
+void write_heartbeat(rpc::Beat::Builder out, const heartbeat& b);
+heartbeat read_heartbeat(rpc::Beat::Reader in);
+void write_ack(rpc::BeatAck::Builder out, const heartbeat_ack& ack);
+heartbeat_ack read_ack(rpc::BeatAck::Reader in);
 void write_objects(capnp::List<rpc::Object>::Builder out,
                    const std::vector<object>& objects);
 std::vector<object> read_objects(capnp::List<rpc::Object>::Reader in);
--- a/src/config-share.cc
+++ b/src/peer-config-service.cc
@@ -1,5 +1,5 @@
 // Reads of a peer's configuration over HTTP.
-#include "config-share.h"
+#include "peer-config-service.h"
 
 #include <absl/strings/numbers.h>
 #include <absl/strings/str_cat.h>
@@ -29,26 +29,26 @@
 
 /// A configuration of 100 KB takes eight peers on a link of 20 Mbit/s together
 /// a third of a second.
-constexpr absl::Duration read_limit = absl::Milliseconds(700);
+constexpr absl::Duration transfer_timeout = absl::Milliseconds(700);
 
 /// Pause after a connection could not be accepted, for want of descriptors.
-constexpr absl::Duration accept_pause = absl::Milliseconds(20);
+constexpr absl::Duration accept_retry_delay = absl::Milliseconds(20);
 
 }  // namespace
 
-bool config_share::listen() {
+bool peer_config_service::listen() {
   return open_listener(this->acceptor, this->node.settings.peer_address,
                        this->node);
 }
 
-net::awaitable<void> config_share::serve() {
+net::awaitable<void> peer_config_service::serve() {
   for (;;) {
     auto [error, socket] = co_await this->acceptor.async_accept(use_tuple);
     if (error == net::error::operation_aborted) co_return;
     if (error) {
-      this->node.log.belief("accept_failed", {{"why", error.message()}},
-                            this->node.now());
-      co_await this->node.sleep(accept_pause);
+      this->node.log.state_change("accept_failed", {{"why", error.message()}},
+                                  this->node.now());
+      co_await this->node.sleep(accept_retry_delay);
       continue;
     }
     auto shared = std::make_shared<tcp::socket>(std::move(socket));
@@ -56,9 +56,10 @@
   }
 }
 
-net::awaitable<void> config_share::answer(std::shared_ptr<tcp::socket> socket) {
+net::awaitable<void> peer_config_service::answer(
+    std::shared_ptr<tcp::socket> socket) {
   // A connection that falls silent must not stay open for good.
-  const detail::socket_deadline deadline(socket, read_limit);
+  const detail::socket_deadline deadline(socket, transfer_timeout);
   boost::beast::flat_buffer buffer;
   http_request request;
   auto [error, size] =
@@ -76,17 +77,18 @@
   auto [failed, sent] =
       co_await http::async_write(*socket, response, use_tuple);
   if (!failed) co_return;
-  this->node.log.belief(
+  this->node.log.state_change(
       "peer_not_told",
       {{"kind", this->node.adapter.kinds().config}, {"why", failed.message()}},
       this->node.now());
 }
 
-net::awaitable<object_listing> config_share::read_from(std::string address) {
+net::awaitable<object_listing> peer_config_service::fetch_from(
+    std::string address) {
   object_listing out;
   http_request request(http::verb::get, config_path, http_11);
   const fetch_result result = co_await this->node.fetcher.fetch(
-      std::move(address), std::move(request), read_limit);
+      std::move(address), std::move(request), transfer_timeout);
   const bool ok = result.status == fetch_status::ok &&
                   result.response.result() == http::status::ok;
   object found;
--- a/src/config-share.h
+++ b/src/peer-config-service.h
@@ -16,9 +16,9 @@
 /// store turns away. Where it turned away a third of 295 nodes for nine
 /// seconds, these refused every request with a key after a change, a fifth of
 /// all requests.
-class config_share {
+class peer_config_service {
  public:
-  explicit config_share(node_context& node) : node(node) {}
+  explicit peer_config_service(node_context& node) : node(node) {}
 
   /// Binds the peers' address. False, with a log line, if it cannot be had.
   bool listen();
@@ -28,7 +28,7 @@
 
   /// Reads the configuration of the peer at `address`. Unavailable if the peer
   /// does not answer or has none.
-  boost::asio::awaitable<object_listing> read_from(std::string address);
+  boost::asio::awaitable<object_listing> fetch_from(std::string address);
 
  private:
   boost::asio::awaitable<void> answer(
--- a/src/peer-link.cc
+++ b/src/peer-link.cc
@@ -22,16 +22,16 @@
 constexpr absl::Duration first_list_period = absl::Milliseconds(700);
 
 /// A peer that has said nothing for this long is not counted as living.
-constexpr absl::Duration live_time = absl::Seconds(3);
+constexpr absl::Duration peer_timeout = absl::Seconds(3);
 
 /// Nothing is sent any more to a node that was not heard of for this long.
-constexpr absl::Duration forget_time = absl::Seconds(60);
+constexpr absl::Duration peer_forget_time = absl::Seconds(60);
 
 /// A datagram is not larger than this.
-constexpr size_t largest_message = 60000;
+constexpr size_t max_datagram_bytes = 60000;
 
 /// Whether a node's entry in the store says what it should.
-bool same_entry(const std::string& body, const std::string& spec) {
+bool entry_matches(const std::string& body, const std::string& spec) {
   const json found = json::parse(body, nullptr, false);
   return found == json::parse(spec);
 }
@@ -47,28 +47,28 @@
 }
 
 bool peer_link::reachable(const peer_node& p) const {
-  const absl::Time last = std::max(p.heard, p.listed);
-  return p.endpoint.port() != 0 && this->node.now() - last <= forget_time;
+  const absl::Time last = std::max(p.last_heard, p.listed);
+  return p.endpoint.port() != 0 && this->node.now() - last <= peer_forget_time;
 }
 
 bool peer_link::alive(const peer_node& p) const {
-  return this->node.now() - p.heard < live_time;
+  return this->node.now() - p.last_heard < peer_timeout;
 }
 
-bool peer_link::near(const peer_node& p) const {
+bool peer_link::in_own_hall(const peer_node& p) const {
   return p.hall == this->node.settings.hall;
 }
 
-std::vector<relay_candidate> peer_link::live_near() const {
+std::vector<relay_candidate> peer_link::live_local_peers() const {
   std::vector<relay_candidate> out;
   for (const auto& [name, p] : this->peers) {
-    if (this->near(p) && this->alive(p)) out.push_back({name, p.cores});
+    if (this->in_own_hall(p) && this->alive(p)) out.push_back({name, p.cores});
   }
   return out;
 }
 
-std::vector<std::string> peer_link::hall_order() const {
-  std::vector<relay_candidate> nodes = this->live_near();
+std::vector<std::string> peer_link::hall_relay_order() const {
+  std::vector<relay_candidate> nodes = this->live_local_peers();
   nodes.push_back({this->node.settings.node, this->node.settings.cores});
   return relay_order(std::move(nodes));
 }
@@ -76,33 +76,34 @@
 std::vector<std::string> peer_link::reachable_peers() const {
   std::vector<std::string> out;
   for (const auto& [name, p] : this->peers) {
-    const bool silent = this->near(p) && !this->alive(p);
+    const bool silent = this->in_own_hall(p) && !this->alive(p);
     if (this->reachable(p) && !silent) out.push_back(name);
   }
   return out;
 }
 
-std::map<std::string, std::vector<relay_candidate>> peer_link::far_halls()
-    const {
+std::map<std::string, std::vector<relay_candidate>>
+peer_link::remote_hall_peers() const {
   std::map<std::string, std::vector<relay_candidate>> out;
   for (const auto& [name, p] : this->peers) {
-    if (this->near(p) || !this->reachable(p)) continue;
+    if (this->in_own_hall(p) || !this->reachable(p)) continue;
     out[p.hall].push_back({name, p.cores});
   }
   return out;
 }
 
-int peer_link::count_reachable(bool other_halls) const {
+int peer_link::count_reachable_peers(bool other_halls) const {
   return static_cast<int>(
       std::count_if(this->peers.begin(), this->peers.end(), [&](const auto& p) {
-        return this->near(p.second) != other_halls && this->reachable(p.second);
+        return this->in_own_hall(p.second) != other_halls &&
+               this->reachable(p.second);
       }));
 }
 
-int peer_link::count_live_far() const {
+int peer_link::count_live_remote_peers() const {
   return static_cast<int>(
       std::count_if(this->peers.begin(), this->peers.end(), [&](const auto& p) {
-        return !this->near(p.second) && this->alive(p.second);
+        return !this->in_own_hall(p.second) && this->alive(p.second);
       }));
 }
 
@@ -136,7 +137,7 @@
   if (answer.status == call_status::not_found) this->own_revision = 0;
   if (answer.status != call_status::conflict) co_return ok;
   this->own_revision = answer.found.version;
-  co_return same_entry(answer.found.body, spec);
+  co_return entry_matches(answer.found.body, spec);
 }
 
 net::awaitable<peer_link::list_result> peer_link::list_peers(bool stale) {
@@ -147,17 +148,18 @@
   bool own_found = false;
   for (const auto& o : listing.objects) {
     if (o.key.name != this->node.settings.node) {
-      this->take_entry(o);
+      this->apply_peer_entry(o);
       continue;
     }
     this->own_revision = o.version;
-    own_found = same_entry(o.body, this->own_entry());
+    own_found = entry_matches(o.body, this->own_entry());
   }
   if (listing.status != store_status::ok) co_return list_result::failed;
-  co_return own_found ? list_result::holds_own : list_result::lacks_own;
+  co_return own_found ? list_result::own_entry_present
+                      : list_result::own_entry_missing;
 }
 
-void peer_link::take_entry(const object& o) {
+void peer_link::apply_peer_entry(const object& o) {
   json body = json::parse(o.body, nullptr, false);
   if (!body.is_object()) return;
   const json& address = body["address"];
@@ -175,30 +177,31 @@
   p.listed = this->node.now();
   // Who is listed when this node starts counts as living until it is silent
   // for as long as any other, so that a relay is found at once.
-  if (!this->listed_once) p.heard = std::max(p.heard, p.listed);
+  if (!this->list_read) p.last_heard = std::max(p.last_heard, p.listed);
 }
 
-net::awaitable<void> peer_link::pause(absl::Duration time) {
+net::awaitable<void> peer_link::jittered_sleep(absl::Duration time) {
   return this->node.sleep(time * (1 + 0.2 * this->node.random.unit()));
 }
 
-net::awaitable<void> peer_link::keep_peers() {
+net::awaitable<void> peer_link::maintain_peers() {
   // A node that starts again under its earlier address is on the list already,
   // and any node that came since has found it there and speaks first: a copy
   // that may be stale is enough, at a tenth of the price of a call, where
   // enrolling and listing take two or three.
-  bool enrolled = co_await this->list_peers(true) == list_result::holds_own;
-  this->listed_once = enrolled;
+  bool enrolled =
+      co_await this->list_peers(true) == list_result::own_entry_present;
+  this->list_read = enrolled;
   for (int tries = 0; !enrolled; ++tries) {
     enrolled = co_await this->enroll();
     // Of two nodes, the one that enrolled later finds the other on a list that
     // is not stale.
     const list_result listed = co_await this->list_peers(tries > 0);
-    if (listed != list_result::failed) this->listed_once = true;
-    if (!enrolled) co_await this->pause(first_list_period);
+    if (listed != list_result::failed) this->list_read = true;
+    if (!enrolled) co_await this->jittered_sleep(first_list_period);
   }
   for (;;) {
-    co_await this->pause(list_period);
+    co_await this->jittered_sleep(list_period);
     co_await this->list_peers(true);
   }
 }
@@ -209,50 +212,51 @@
   peer_node& p = this->peers[message.node];
   const bool old = p.boot == message.boot && message.sequence <= p.sequence;
   if (old) {
-    this->node.metrics.count_news("overtaken");
-    this->node.log.belief("message_overtaken",
-                          {{"peer", message.node},
-                           {"sequence", absl::StrCat(message.sequence)},
-                           {"known", absl::StrCat(p.sequence)}},
-                          now);
+    this->node.metrics.count_update_event("overtaken");
+    this->node.log.state_change("message_overtaken",
+                                {{"peer", message.node},
+                                 {"sequence", absl::StrCat(message.sequence)},
+                                 {"known", absl::StrCat(p.sequence)}},
+                                now);
     return;
   }
-  const bool back = now - p.heard >= live_time;
+  const bool back = now - p.last_heard >= peer_timeout;
   // A node that is not on the list yet is answered where it speaks from.
   if (p.listed == absl::InfinitePast()) p.endpoint = from;
   p.hall = message.hall;
   p.cores = message.cores;
   p.boot = message.boot;
   p.sequence = message.sequence;
-  p.heard = now;
+  p.last_heard = now;
   if (back) {
-    this->node.log.belief("peer_heard", {{"peer", message.node}}, now);
+    this->node.log.state_change("peer_heard", {{"peer", message.node}}, now);
   }
-  this->hand_over(message);
+  this->dispatch(message);
 }
 
-void peer_link::hand_over(const node_message& message) {
+void peer_link::dispatch(const node_message& message) {
   if (const auto* g = std::get_if<gossip>(&message.content)) {
     this->on_gossip(message.node, *g);
-  } else if (const auto* r = std::get_if<news_request>(&message.content)) {
+  } else if (const auto* r =
+                 std::get_if<store_update_request>(&message.content)) {
     this->on_request(message.node, *r);
-  } else if (const auto* n = std::get_if<news>(&message.content)) {
-    this->on_news(message.node, *n);
+  } else if (const auto* n = std::get_if<store_update>(&message.content)) {
+    this->on_store_update(message.node, *n);
   } else if (const auto* c = std::get_if<crash_report>(&message.content)) {
     this->on_crashes(message.node, *c);
-  } else if (const auto* w = std::get_if<cold_request>(&message.content)) {
-    this->on_cold_request(message.node, *w);
-  } else if (const auto* a = std::get_if<cold_grant>(&message.content)) {
-    this->on_cold_grant(message.node, *a);
-  } else if (const auto* l = std::get_if<limit_news>(&message.content)) {
-    this->on_limit_news(message.node, *l);
+  } else if (const auto* w = std::get_if<grant_request>(&message.content)) {
+    this->on_grant_request(message.node, *w);
+  } else if (const auto* a = std::get_if<grant_response>(&message.content)) {
+    this->on_grant_response(message.node, *a);
+  } else if (const auto* l = std::get_if<limit_update>(&message.content)) {
+    this->on_limit_update(message.node, *l);
   } else {
     this->on_suspicion(std::get<suspicion>(message.content));
   }
 }
 
 net::awaitable<void> peer_link::receive() {
-  std::vector<char> bytes(largest_message);
+  std::vector<char> bytes(max_datagram_bytes);
   for (;;) {
     udp::endpoint from;
     auto [error, size] = co_await this->socket.async_receive_from(
@@ -265,7 +269,7 @@
       this->take(*message, from);
       continue;
     }
-    this->node.log.belief(
+    this->node.log.state_change(
         "message_unreadable",
         {{"from", from.address().to_string()}, {"bytes", absl::StrCat(size)}},
         this->node.now());
@@ -280,7 +284,7 @@
   this->node.metrics.count_peer_bytes("out", static_cast<double>(bytes.size()));
 }
 
-node_message peer_link::compose(message_content content) {
+node_message peer_link::make_message(message_content content) {
   return {
       this->node.settings.node, this->node.settings.hall,  this->boot,
       ++this->sequence,         this->node.settings.cores, std::move(content)};
@@ -289,13 +293,13 @@
 void peer_link::send(const std::string& peer, message_content content) {
   const auto found = this->peers.find(peer);
   if (found == this->peers.end() || !this->reachable(found->second)) return;
-  this->send_to(found->second, encode(this->compose(std::move(content))));
+  this->send_to(found->second, encode(this->make_message(std::move(content))));
 }
 
 void peer_link::send_all(const message_content& content, bool other_halls) {
-  const std::string bytes = encode(this->compose(content));
+  const std::string bytes = encode(this->make_message(content));
   for (const auto& [name, p] : this->peers) {
-    if (this->near(p) == other_halls || !this->reachable(p)) continue;
+    if (this->in_own_hall(p) == other_halls || !this->reachable(p)) continue;
     this->send_to(p, bytes);
   }
 }
--- a/src/peer.cc
+++ b/src/peer.cc
@@ -17,10 +17,10 @@
 namespace {
 
 /// Calls to one peer that may be unanswered before more are dropped.
-constexpr int most_outstanding = 4;
+constexpr int max_outstanding_calls = 4;
 
 /// A call that has no answer by then closes its connection.
-constexpr auto call_limit = 2 * kj::SECONDS;
+constexpr auto call_timeout = 2 * kj::SECONDS;
 
 /// What the RPC layer adds to each message: call or return header, capability
 /// table, release of the answer; in bytes. An estimate from the message layout,
@@ -33,7 +33,7 @@
 /// Answers that the reducer still owes.
 struct pending_replies {
   uint64_t last_token = 0;
-  reply_map<beat_ack> beats;
+  reply_map<heartbeat_ack> heartbeats;
   reply_map<std::vector<object>> pulls;
 };
 
@@ -43,14 +43,15 @@
               pending_replies& waiting)
       : sink(events), count(bytes), replies(waiting) {}
 
-  kj::Promise<void> beat(BeatContext context) override {
+  kj::Promise<void> heartbeat(BeatContext context) override {
     this->received(context.getParams().totalSize().wordCount);
-    auto paf = kj::newPromiseAndFulfiller<beat_ack>();
+    auto paf = kj::newPromiseAndFulfiller<heartbeat_ack>();
     const uint64_t token = ++this->replies.last_token;
-    this->replies.beats[token] = kj::mv(paf.fulfiller);
-    this->sink(beat_event{token, read_beat(context.getParams().getBeat())});
+    this->replies.heartbeats[token] = kj::mv(paf.fulfiller);
+    this->sink(
+        heartbeat_event{token, read_heartbeat(context.getParams().getBeat())});
     context.releaseParams();
-    return paf.promise.then([this, context](const beat_ack& ack) mutable {
+    return paf.promise.then([this, context](const heartbeat_ack& ack) mutable {
       write_ack(context.getResults().initAck(), ack);
       this->sent(context.getResults().asReader().totalSize().wordCount);
     });
@@ -111,7 +112,7 @@
   int outstanding = 0;
 };
 
-class rpc_link final : public peer_link {
+class rpc_link final : public rpc_peer_link {
  public:
   rpc_link(std::string own_address, event_sink events, byte_counter bytes)
       : address(std::move(own_address)),
@@ -129,8 +130,8 @@
     this->thread.join();
   }
 
-  void send_beat(const std::string& to, const beat& b) override {
-    this->post([this, to, b] { this->call_beat(to, b); });
+  void send_heartbeat(const std::string& to, const heartbeat& b) override {
+    this->post([this, to, b] { this->call_heartbeat(to, b); });
   }
 
   void push(const std::string& to,
@@ -143,8 +144,9 @@
     this->post([this, to, known] { this->call_pull(to, known); });
   }
 
-  void reply_beat(uint64_t token, const beat_ack& ack) override {
-    this->post([this, token, ack] { fulfil(this->replies.beats, token, ack); });
+  void reply_heartbeat(uint64_t token, const heartbeat_ack& ack) override {
+    this->post(
+        [this, token, ack] { fulfil(this->replies.heartbeats, token, ack); });
   }
 
   void reply_pull(uint64_t token, const std::vector<object>& objects) override {
@@ -206,7 +208,7 @@
   /// The connection to a peer, or null if too much is unanswered there.
   peer_connection* connect(const std::string& to) {
     auto& connection = this->connections[to];
-    if (connection.outstanding >= most_outstanding) return nullptr;
+    if (connection.outstanding >= max_outstanding_calls) return nullptr;
     if (connection.peer.get() == nullptr) {
       connection.peer = kj::heap<dialled_peer>(to);
     }
@@ -217,7 +219,7 @@
   /// Follows a call to its end; a failed one closes its connection.
   template <typename Promise>
   void follow(const std::string& to, uint64_t generation, Promise promise) {
-    this->timer->timeoutAfter(call_limit, kj::mv(promise))
+    this->timer->timeoutAfter(call_timeout, kj::mv(promise))
         .then([this, to] { this->connections[to].outstanding--; })
         .detach([this, to, generation](kj::Exception&&) {
           auto& connection = this->connections[to];
@@ -245,17 +247,17 @@
     this->count("received", words * sizeof(capnp::word) + envelope_bytes);
   }
 
-  void call_beat(const std::string& to, const beat& b) {
+  void call_heartbeat(const std::string& to, const heartbeat& b) {
     peer_connection* connection = this->connect(to);
     if (!connection) return;
     auto request = connection->peer->main.beatRequest();
-    write_beat(request.initBeat(), b);
+    write_heartbeat(request.initBeat(), b);
     this->sent(request.asReader().totalSize().wordCount);
     this->follow(
         to, connection->generation,
         request.send().then([this, sent = b.sent](auto&& response) {
           this->received(response.totalSize().wordCount);
-          this->sink(beat_ack_event{read_ack(response.getAck()), sent});
+          this->sink(heartbeat_ack_event{read_ack(response.getAck()), sent});
         }));
   }
 
@@ -306,8 +308,9 @@
 
 }  // namespace
 
-std::unique_ptr<peer_link> make_rpc_link(const std::string& address,
-                                         event_sink sink, byte_counter count) {
+std::unique_ptr<rpc_peer_link> make_rpc_link(const std::string& address,
+                                             event_sink sink,
+                                             byte_counter count) {
   return std::make_unique<rpc_link>(address, std::move(sink), std::move(count));
 }
 
--- a/src/planner.cc
+++ b/src/planner.cc
@@ -13,16 +13,16 @@
 
   plan_result run() {
     this->next.hall = this->in.hall;
-    this->settle_groups();
+    this->advance_groups();
     this->repair_groups();
-    this->add_missing();
+    this->form_missing_groups();
     this->drain_unwanted();
-    this->retire_surplus();
+    this->drain_surplus();
     return {std::move(this->next), std::move(this->changes)};
   }
 
  private:
-  void note(const group& g, std::string what, std::string why) {
+  void record_change(const group& g, std::string what, std::string why) {
     this->changes.push_back({g.name, std::move(what), std::move(why)});
   }
 
@@ -36,7 +36,7 @@
     return view && view->report;
   }
 
-  bool lost_for_good(const std::string& host) const {
+  bool permanently_lost(const std::string& host) const {
     const host_view* view = this->find(host);
     if (!view) return true;
     const auto grace = this->in.config->limits.repair_grace;
@@ -70,14 +70,14 @@
                       }));
   }
 
-  bool idle(const group& g) const {
+  bool drained_and_idle(const group& g) const {
     const auto it = this->in.draining_since.find(g.name);
     if (it == this->in.draining_since.end()) return false;
     const absl::Time settled = it->second + this->in.drain_settle;
     if (this->in.now < settled) return false;
     const host_view* leader = this->find(g.hosts.front());
     if (!leader) return true;
-    if (!leader->report) return this->lost_for_good(g.hosts.front());
+    if (!leader->report) return this->permanently_lost(g.hosts.front());
     const bool fresh = leader->load_at >= settled;
     return fresh && leader->load.running == 0 && leader->load.queued == 0;
   }
@@ -96,16 +96,16 @@
   }
 
   /// Groups that became whole start to serve; drained ones end.
-  void settle_groups() {
+  void advance_groups() {
     std::vector<group> kept;
     for (auto& g : this->next.groups) {
-      if (g.phase == group_phase::draining && this->idle(g)) {
-        this->note(g, "released", "drained");
+      if (g.phase == group_phase::draining && this->drained_and_idle(g)) {
+        this->record_change(g, "released", "drained");
         continue;
       }
       if (g.phase == group_phase::loading && this->ready(g)) {
         g.phase = group_phase::serving;
-        this->note(g, "serving", "all members ready");
+        this->record_change(g, "serving", "all members ready");
       }
       kept.push_back(g);
     }
@@ -120,7 +120,8 @@
       const bool leaving = this->has_leaving_host(g);
       if (!leaving && (this->wanted(g) || !this->may_retire(g))) continue;
       g.phase = group_phase::draining;
-      this->note(g, "draining", leaving ? "host is leaving" : "not wanted");
+      this->record_change(g, "draining",
+                          leaving ? "host is leaving" : "not wanted");
     }
   }
 
@@ -157,7 +158,7 @@
 
   bool has_lost_member(const group& g) const {
     return std::any_of(g.hosts.begin(), g.hosts.end(), [&](const auto& host) {
-      return this->lost_for_good(host);
+      return this->permanently_lost(host);
     });
   }
 
@@ -176,9 +177,10 @@
     std::set<std::string> dissolved;
     for (const size_t i : broken) {
       group& g = this->next.groups[i];
-      if (g.phase == group_phase::draining || !this->swap_lost(g)) {
+      if (g.phase == group_phase::draining || !this->replace_lost_members(g)) {
         dissolved.insert(g.name);
-        this->note(g, "released", "members lost, no spare in its domain");
+        this->record_change(g, "released",
+                            "members lost, no spare in its domain");
       }
     }
     std::erase_if(this->next.groups,
@@ -190,11 +192,11 @@
     return model ? model->importance : 0;
   }
 
-  bool swap_lost(group& g) {
+  bool replace_lost_members(group& g) {
     std::vector<std::string> lost;
     std::string domain;
     for (const auto& host : g.hosts) {
-      if (this->lost_for_good(host)) {
+      if (this->permanently_lost(host)) {
         lost.push_back(host);
       } else {
         domain = this->find(host)->info.domain;
@@ -211,7 +213,7 @@
     }
     g.incarnation = this->next.next_incarnation++;
     g.phase = group_phase::loading;
-    this->note(g, "repaired", swapped);
+    this->record_change(g, "repaired", swapped);
     return true;
   }
 
@@ -323,7 +325,7 @@
         }));
   }
 
-  void add_missing() {
+  void form_missing_groups() {
     for (const model_config* model : this->models_by_importance()) {
       int missing =
           this->replicas_wanted(*model) - this->current_replicas(*model);
@@ -338,14 +340,14 @@
         g.version = model->version;
         g.adapters = model->adapters;
         g.hosts = std::move(hosts);
-        this->note(g, "formed", "replica wanted");
+        this->record_change(g, "formed", "replica wanted");
         this->next.groups.push_back(std::move(g));
       }
     }
   }
 
   /// Replicas beyond the wanted number drain, those not serving first.
-  void retire_surplus() {
+  void drain_surplus() {
     for (const auto& model : this->in.config->models) {
       int surplus =
           this->current_replicas(model) - this->replicas_wanted(model);
@@ -358,7 +360,7 @@
           if (!this->wanted(g)) continue;
           if (pass == 0 && this->counts_as_serving(g)) continue;
           g.phase = group_phase::draining;
-          this->note(g, "draining", "more replicas than wanted");
+          this->record_change(g, "draining", "more replicas than wanted");
           surplus--;
         }
       }
--- a/src/prediction-error.cc
+++ b/src/prediction-error.cc
@@ -6,10 +6,10 @@
 
 namespace spokesail {
 
-void prediction_error::note(double predicted_ms, double taken_ms,
-                            absl::Time now) {
+void prediction_error::add_sample(double predicted_ms, double taken_ms,
+                                  absl::Time now) {
   this->samples.push_back({now, taken_ms - predicted_ms});
-  if (this->samples.size() > most_samples) this->samples.pop_front();
+  if (this->samples.size() > max_samples) this->samples.pop_front();
 }
 
 double prediction_error::expected_ms(absl::Time now) const {
@@ -17,7 +17,7 @@
   for (const auto& sample : this->samples) {
     if (now - sample.at <= memory) errors.push_back(sample.error_ms);
   }
-  if (errors.size() < least_samples) return 0;
+  if (errors.size() < min_samples) return 0;
   const auto middle =
       errors.begin() + static_cast<ptrdiff_t>(errors.size() / 2);
   std::nth_element(errors.begin(), middle, errors.end());
--- a/src/presence.cc
+++ b/src/presence.cc
@@ -10,7 +10,7 @@
 /// longer speak against a host.
 constexpr absl::Duration negative_lifetime = absl::Seconds(10);
 
-bool same_word(const observation& a, const observation& b) {
+bool same_observation(const observation& a, const observation& b) {
   return a.reachable == b.reachable && a.report == b.report;
 }
 
@@ -22,7 +22,7 @@
   auto [it, fresh] = entry.by_prober.try_emplace(prober);
   observation& known = it->second;
   if (!fresh && seen.at < known.at) return false;
-  const bool changed = fresh || !same_word(known, seen);
+  const bool changed = fresh || !same_observation(known, seen);
   const bool still_lost = !fresh && !known.reachable && !seen.reachable;
   const absl::Time since = still_lost ? known.unreachable_since : seen.at;
   known = seen;
@@ -35,13 +35,13 @@
   last = std::max(last, at);
 }
 
-void presence_table::withdraw(const std::string& prober,
-                              const std::string& host) {
+void presence_table::remove_observation(const std::string& prober,
+                                        const std::string& host) {
   const auto it = this->hosts.find(host);
   if (it != this->hosts.end()) it->second.by_prober.erase(prober);
 }
 
-void presence_table::forget_prober(const std::string& prober) {
+void presence_table::remove_prober(const std::string& prober) {
   for (auto& [host, entry] : this->hosts) entry.by_prober.erase(prober);
   this->refreshed.erase(prober);
 }
@@ -72,8 +72,8 @@
   return found;
 }
 
-std::optional<observation> presence_table::word(const std::string& prober,
-                                                const std::string& host) const {
+std::optional<observation> presence_table::observation_of(
+    const std::string& prober, const std::string& host) const {
   const auto it = this->hosts.find(host);
   if (it == this->hosts.end()) return std::nullopt;
   const auto seen = it->second.by_prober.find(prober);
@@ -116,7 +116,7 @@
   return newest->report;
 }
 
-void presence_table::keep_only(const std::vector<std::string>& names) {
+void presence_table::retain_hosts(const std::vector<std::string>& names) {
   const std::set<std::string> wanted(names.begin(), names.end());
   for (auto it = this->hosts.begin(); it != this->hosts.end();) {
     it = wanted.count(it->first) != 0 ? std::next(it) : this->hosts.erase(it);
--- a/src/reducer.cc
+++ b/src/reducer.cc
@@ -39,7 +39,7 @@
       controller(options.self.hall, holder, options.controller);
   state.requests = request_table(options.self.name, options.boot);
   state.started = now;
-  state.heard_platform = now;
+  state.last_platform_contact = now;
   state.last_event = now;
   return state;
 }
--- a/src/relay-choice.cc
+++ b/src/relay-choice.cc
@@ -13,8 +13,8 @@
 
 /// Children for each whole core, and the bounds for any node.
 constexpr float children_per_core = 48;
-constexpr float least_children = 4;
-constexpr float most_children = 32;
+constexpr float min_children = 4;
+constexpr float max_children = 32;
 
 /// The rank whom the node of `rank`, which is not the first, asks: each node
 /// takes the next ones in order until it has as many as its size allows.
@@ -29,7 +29,7 @@
 
 size_t relay_fan_out(float cores) {
   return static_cast<size_t>(std::clamp(std::round(cores * children_per_core),
-                                        least_children, most_children));
+                                        min_children, max_children));
 }
 
 std::vector<relay_candidate> rank_relays(std::vector<relay_candidate> nodes) {
@@ -72,15 +72,15 @@
                         [&](const auto& node) { return node.name == name; });
   };
   const auto usable = [&](const std::string& name) {
-    return !name.empty() && view.passed_over.count(name) == 0;
+    return !name.empty() && view.excluded.count(name) == 0;
   };
-  if (view.holder_near && usable(view.holder)) {
+  if (view.holder_in_hall && usable(view.holder)) {
     const auto at = named(view.holder);
     if (at != order.end()) std::rotate(order.begin(), at, at + 1);
   }
   const auto rank = static_cast<size_t>(named(view.self.name) - order.begin());
   relay_choice out;
-  out.candidate = rank < most_relays;
+  out.top_ranked = rank < top_ranked_per_hall;
   out.upstream = view.self.name;
   if (view.holder == view.self.name) return out;
   for (size_t at = rank; at > 0;) {
