--- a/test/group-controller-test.cc
+++ b/test/group-controller-test.cc
@@ -16,10 +16,10 @@
 backend_service engine_service() {
   engine_profile engine;
   engine.slots = 26;
-  engine.stride = 5;
+  engine.decode_steps_per_pass = 5;
   engine.step_ms = 6;
-  engine.read_tokens_per_ms = 46;
-  engine.read_chunk = 2048;
+  engine.prefill_tokens_per_ms = 46;
+  engine.prefill_chunk = 2048;
   engine.loads_per_s = 4;
   engine.loads_at_once = 6;
   engine.open_time = absl::Milliseconds(300);
@@ -47,7 +47,7 @@
                          const group_controller_options& options = {}) {
   fleet_run run = hall_of_domains(seed, options);
   run.run_for(absl::Seconds(30));
-  run.loads_count = true;
+  run.requests_seen = true;
   return run;
 }
 
@@ -87,7 +87,7 @@
   fleet_run run = standing_fleet(2);
   const std::string lost = member_of(run, "large", 2);
   run.fleet.kill(lost, run.now);
-  run.notice(lost);
+  run.report_suspect(lost);
   run.run_for(absl::Milliseconds(4000));
   EXPECT_EQ(run.fleet.serving("large"), 6);
   EXPECT_EQ(run.fleet.serving("small"), 11);
@@ -103,7 +103,7 @@
   for (int i = 0; i < 6; ++i) {
     const std::string lost = member_of(run, "small", 1);
     run.fleet.kill(lost, run.now);
-    run.notice(lost);
+    run.report_suspect(lost);
     run.run_for(absl::Seconds(2));
   }
   EXPECT_EQ(run.fleet.serving("large"), large);
@@ -123,14 +123,14 @@
 
 TEST(group_controller, forms_no_group_in_a_closed_hall) {
   fleet_run run = hall_of_domains(1);
-  run.controller.close_halls({"h0"});
+  run.controller.set_closed_halls({"h0"});
   run.run_for(absl::Seconds(30));
   EXPECT_TRUE(groups_in(run, "h0").empty());
   EXPECT_FALSE(groups_in(run, "h1").empty());
   // What is wanted follows from the hosts of the other halls.
   EXPECT_GE(run.fleet.serving("large"), 4);
   EXPECT_GE(run.fleet.serving("small"), 4);
-  run.controller.close_halls({});
+  run.controller.set_closed_halls({});
   run.run_for(absl::Seconds(30));
   EXPECT_FALSE(groups_in(run, "h0").empty());
   EXPECT_TRUE(run.fleet.breaches().empty());
@@ -140,11 +140,11 @@
   fleet_run run = standing_fleet(1);
   const auto before = groups_in(run, "h0");
   const auto others = groups_in(run, "h1");
-  run.controller.close_halls({"h0"});
+  run.controller.set_closed_halls({"h0"});
   run.run_for(absl::Seconds(10));
   EXPECT_EQ(groups_in(run, "h0"), before);
   EXPECT_EQ(groups_in(run, "h1"), others);
-  run.controller.close_halls({});
+  run.controller.set_closed_halls({});
   run.run_for(absl::Seconds(10));
   EXPECT_EQ(groups_in(run, "h0"), before);
 }
@@ -159,9 +159,9 @@
     if (said.phase != member_phase::none) lost = id;
   }
   const std::string group = run.fleet.directory().find(lost)->membership.group;
-  run.controller.close_halls({"h0"});
+  run.controller.set_closed_halls({"h0"});
   run.fleet.set_dark(lost, true);
-  run.notice(lost);
+  run.report_suspect(lost);
   run.run_for(absl::Seconds(10));
   auto left = before;
   left.erase(group);
@@ -178,7 +178,7 @@
 TEST(group_controller, gives_up_a_group_whose_hall_closes_while_it_forms) {
   fleet_run run = hall_of_domains(1);
   while (groups_in(run, "h0").empty()) run.step();
-  run.controller.close_halls({"h0"});
+  run.controller.set_closed_halls({"h0"});
   const auto begun = groups_in(run, "h0");
   run.run_for(absl::Seconds(30));
   for (const auto& group : groups_in(run, "h0")) {
@@ -203,7 +203,7 @@
   fleet_run run = standing_fleet(2, idle_spares());
   const std::string lost = member_of(run, "large", 2);
   run.fleet.kill(lost, run.now);
-  run.notice(lost);
+  run.report_suspect(lost);
   run.run_for(absl::Milliseconds(2600));
   EXPECT_EQ(run.fleet.serving("large"), 6);
   EXPECT_TRUE(run.fleet.breaches().empty());
@@ -217,7 +217,7 @@
     const std::string id = member_of(run, "large", 2);
     const std::string group = run.fleet.directory().find(id)->membership.group;
     run.fleet.restart(id, run.now);
-    if (noticed) run.notice(id);
+    if (noticed) run.report_suspect(id);
     run.run_for(absl::Seconds(6));
     EXPECT_EQ(run.fleet.serving("large"), 6);
     EXPECT_TRUE(run.fleet.breaches().empty());
@@ -228,7 +228,7 @@
     // It takes orders again, by its new count.
     const std::string other = member_of(run, "large", 1);
     run.fleet.kill(other, run.now);
-    run.notice(other);
+    run.report_suspect(other);
     run.run_for(absl::Seconds(40));
     EXPECT_EQ(run.fleet.serving("large"), 6);
   }
@@ -240,7 +240,7 @@
   fleet_run run = standing_fleet(3, idle_spares());
   const std::string id = member_of(run, "large", 2);
   server_report late = *run.fleet.report(id);
-  late.orders_taken = earlier_orders;
+  late.orders_started = earlier_orders;
   run.fleet.restart(id, run.now);
   run.run_for(absl::Milliseconds(80));
   run.controller.on_report(id, late, run.now);
@@ -264,7 +264,7 @@
   fleet_run run = hall_of_domains(11, {}, domains, hosts);
   run.step();
   run.run_for(absl::Seconds(25));
-  EXPECT_LE(run.most_orders, static_cast<size_t>(window_limits{}.most));
+  EXPECT_LE(run.max_orders_per_step, static_cast<size_t>(window_limits{}.most));
   EXPECT_GE(4 * run.fleet.serving("large") + 2 * run.fleet.serving("small"),
             domains * (hosts - 6));
   EXPECT_TRUE(run.fleet.breaches().empty());
@@ -276,7 +276,7 @@
   run.run_for(absl::Seconds(6));
   const std::string lost = member_of(run, "large", 2);
   run.fleet.kill(lost, run.now);
-  run.notice(lost);
+  run.report_suspect(lost);
   run.run_for(absl::Milliseconds(1100));
   EXPECT_EQ(run.fleet.serving("large"), 6);
   EXPECT_TRUE(run.fleet.breaches().empty());
@@ -299,7 +299,7 @@
   const std::string head = member_of(run, "large", 0);
   // The head is cut off, not dead: it may serve callers on the other side.
   run.fleet.set_dark(head, true);
-  run.notice(head);
+  run.report_suspect(head);
   run.run_for(absl::Seconds(3));
   EXPECT_TRUE(run.fleet.breaches().empty());
   EXPECT_EQ(run.fleet.serving("large"), 6);
@@ -309,7 +309,7 @@
   fleet_run run = standing_fleet(4);
   const std::string head = member_of(run, "large", 0);
   run.fleet.set_dark(head, true);
-  run.notice(head);
+  run.report_suspect(head);
   // The holder takes the others out of the group, and is gone.
   run.run_for(absl::Milliseconds(300));
   const absl::Time dead = run.now;
@@ -337,7 +337,7 @@
 /// once, and serve on for a while.
 TEST(group_controller, groups_serve_on_while_a_member_is_about_to_leave) {
   group_controller_options options = idle_spares();
-  options.leave_hold = absl::Milliseconds(2000);
+  options.leaving_member_grace = absl::Milliseconds(2000);
   fleet_run run = standing_fleet(5, options);
   std::set<std::string> groups;
   for (const auto& [id, server] : run.fleet.directory().servers()) {
@@ -378,7 +378,7 @@
   // The lease could not be renewed for a while, and nobody else took it.
   run.controller.stop_term();
   run.controller.start_term(run.fence);
-  run.loads_count = false;
+  run.requests_seen = false;
   const std::string added = "added";
   for (int i = 0; i < 8; ++i) run.fleet.add(added, run.now);
   const std::set<std::string> earlier = group_names(run, added, false);
@@ -412,7 +412,7 @@
 /// A fleet whose holders change while many hosts have weights to load.
 fleet_run fleet_without_weights(uint64_t seed) {
   fleet_run run = hall_of_domains(seed);
-  run.loads_count = true;
+  run.requests_seen = true;
   run.run_for(absl::Milliseconds(400));
   return run;
 }
@@ -429,7 +429,7 @@
   }
   const double allowed = engine.loads_per_s * options.load_excess *
                          absl::ToDoubleSeconds(options.load_window);
-  EXPECT_LE(run.most_loads(options.load_window, since), allowed);
+  EXPECT_LE(run.max_loads_in_window(options.load_window, since), allowed);
 }
 
 TEST(group_controller, a_holder_that_heard_nothing_waits_the_window_out) {
@@ -448,13 +448,13 @@
   for (const auto& id : run.fleet.living()) {
     if (++count > 20) break;
     run.fleet.set_dark(id, true);
-    run.notice(id);
+    run.report_suspect(id);
   }
   for (int i = 0; i < 20; ++i) {
     run.now += step_time;
     const auto actions =
         run.controller.step(run.fleet.directory(), run.config, true, run.now);
-    for (const auto& id : actions.reports) {
+    for (const auto& id : actions.report_requests) {
       run.controller.on_report(id, run.fleet.report(id), run.now);
     }
     if (!actions.step_down) continue;
@@ -469,13 +469,13 @@
   for (const auto& [id, server] : run.fleet.directory().servers()) {
     if (server.entry.hall != "h0") continue;
     run.fleet.set_dark(id, true);
-    run.notice(id);
+    run.report_suspect(id);
   }
   for (int i = 0; i < 20; ++i) {
     run.now += step_time;
     const auto actions =
         run.controller.step(run.fleet.directory(), run.config, true, run.now);
-    for (const auto& id : actions.reports) {
+    for (const auto& id : actions.report_requests) {
       run.controller.on_report(id, run.fleet.report(id), run.now);
     }
     EXPECT_FALSE(actions.step_down);
@@ -499,8 +499,8 @@
   const absl::Time since = run.now;
   for (int i = 0; i < 30; ++i) run.fleet.add(absl::StrCat("d", i % 6), run.now);
   run.run_for(absl::Seconds(20));
-  EXPECT_LE(run.most_loads(absl::Seconds(5), since), 25);
-  EXPECT_GT(run.most_loads(absl::Seconds(5), since), 5);
+  EXPECT_LE(run.max_loads_in_window(absl::Seconds(5), since), 25);
+  EXPECT_GT(run.max_loads_in_window(absl::Seconds(5), since), 5);
 }
 
 TEST(group_controller, forms_the_groups_of_each_of_two_services) {
@@ -523,7 +523,7 @@
   for (absl::Time now = began; now < began + absl::Seconds(2);
        now += step_time) {
     const auto actions = controller.step(directory, config, false, now);
-    for (const auto& id : actions.reports) {
+    for (const auto& id : actions.report_requests) {
       controller.on_report(id, server_report{}, now);
     }
     for (const auto& order : actions.orders) {
@@ -552,7 +552,7 @@
     }
     server.revision = out.revision() + 1;
     out.update(server);
-    out.caught_up(server.revision);
+    out.advance_revision(server.revision);
   };
   for (int i = 0; i < 4; ++i) add(absl::StrCat("l", i), "large", i, "large");
   for (int i = 0; i < 2; ++i) add(absl::StrCat("s", i), "small", i, "small");
@@ -572,12 +572,12 @@
   absl::Time now = absl::FromUnixSeconds(1000);
   for (int i = 0; i < 20; ++i, now += step_time) {
     const auto actions = controller.step(directory, config, true, now);
-    for (const auto& id : actions.reports) {
+    for (const auto& id : actions.report_requests) {
       controller.on_report(id, server_report{}, now);
     }
     for (const auto& order : actions.orders) {
       stages.push_back(order);
-      controller.on_order(order, order_result::begun, now);
+      controller.on_order_result(order, order_result::begun, now);
     }
   }
   ASSERT_EQ(stages.size(), 1U);
@@ -595,7 +595,7 @@
       if (server.entry.domain != domain || said.rank != 1) continue;
       if (group_model(said.group) != "large") continue;
       run.fleet.kill(id, run.now);
-      run.notice(id);
+      run.report_suspect(id);
       break;
     }
     run.run_for(absl::Seconds(5));
@@ -610,15 +610,15 @@
 
 /// One random fault.
 void strike(fleet_run& run) {
-  const std::string id = run.some_server();
+  const std::string id = run.random_server();
   switch (run.random.below(7)) {
     case 0:
       run.fleet.kill(id, run.now);
-      run.notice(id);
+      run.report_suspect(id);
       break;
     case 1:
       run.fleet.set_dark(id, true);
-      run.notice(id);
+      run.report_suspect(id);
       break;
     case 2:
       for (const auto& other : run.fleet.living()) {
--- a/test/group-share-test.cc
+++ b/test/group-yield-test.cc
@@ -24,10 +24,10 @@
 backend_service service_of_two_sizes() {
   engine_profile engine;
   engine.slots = 48;
-  engine.stride = 5;
+  engine.decode_steps_per_pass = 5;
   engine.step_ms = 6.45;
-  engine.read_tokens_per_ms = 56.1;
-  engine.read_chunk = 2048;
+  engine.prefill_tokens_per_ms = 56.1;
+  engine.prefill_chunk = 2048;
   engine.loads_per_s = 14;
   engine.loads_at_once = 20;
   engine.open_time = absl::Milliseconds(300);
@@ -52,7 +52,7 @@
     this->run.fleet.load_factor = 0.1;
     this->run.run_for(absl::Seconds(14));
     this->run.fleet.load_factor = 1;
-    this->run.loads_count = true;
+    this->run.requests_seen = true;
     this->began = this->run.now;
   }
 
@@ -98,7 +98,7 @@
   /// come in their place.
   void replace_some(int count) {
     for (int i = 0; i < count; ++i) {
-      const std::string id = this->run.some_server();
+      const std::string id = this->run.random_server();
       const server_entry* entry = this->run.fleet.directory().find(id);
       if (entry == nullptr || entry->draining) continue;
       this->run.fleet.drain(id, this->run.now);
@@ -134,7 +134,7 @@
   void carry_on() {
     while (!this->noticed.empty() &&
            this->noticed.begin()->first <= this->run.now) {
-      this->run.notice(this->noticed.begin()->second);
+      this->run.report_suspect(this->noticed.begin()->second);
       this->noticed.erase(this->noticed.begin());
     }
     while (!this->leaving.empty() &&
@@ -217,14 +217,14 @@
 }
 
 TEST(may_yield, groups_beyond_the_share_are_always_given) {
-  const model_standing small{12, 11};
-  const model_standing large{5, 6};
+  const model_group_counts small{12, 11};
+  const model_group_counts large{5, 6};
   EXPECT_TRUE(may_yield(small, large, 1));
   EXPECT_FALSE(may_yield(small, large, 2));
 }
 
 TEST(may_yield, a_model_with_hardly_any_group_gets_some_of_the_share) {
-  const model_standing small{11, 11};
+  const model_group_counts small{11, 11};
   EXPECT_TRUE(may_yield(small, {0, 6}, 2));
   EXPECT_TRUE(may_yield(small, {2, 6}, 2));
   EXPECT_FALSE(may_yield(small, {3, 6}, 1));
--- a/test/hall-evacuations-test.cc
+++ b/test/hall-evacuations-test.cc
@@ -14,8 +14,8 @@
 
 absl::Time at_ms(int64_t ms) { return start + absl::Milliseconds(ms); }
 
-evacuation_word word_of(int64_t revision, std::set<std::string> halls,
-                        absl::Duration age = absl::ZeroDuration()) {
+evacuation_snapshot word_of(int64_t revision, std::set<std::string> halls,
+                            absl::Duration age = absl::ZeroDuration()) {
   return {revision, age, std::move(halls)};
 }
 
@@ -28,24 +28,24 @@
 
 TEST(hall_evacuations, an_empty_word_is_knowledge) {
   hall_evacuations known;
-  known.take(word_of(0, {}, absl::Milliseconds(30)), start, start);
+  known.apply(word_of(0, {}, absl::Milliseconds(30)), start, start);
   EXPECT_TRUE(known.known());
   EXPECT_EQ(known.age(start), absl::Milliseconds(30));
 }
 
 TEST(hall_evacuations, says_what_a_word_has_changed) {
   hall_evacuations known;
-  EXPECT_EQ(known.take(word_of(1, {"a"}), start, start),
+  EXPECT_EQ(known.apply(word_of(1, {"a"}), start, start),
             (evacuation_change{{"a"}, {}}));
-  EXPECT_EQ(known.take(word_of(2, {"b"}), start, start),
+  EXPECT_EQ(known.apply(word_of(2, {"b"}), start, start),
             (evacuation_change{{"b"}, {"a"}}));
-  EXPECT_EQ(known.take(word_of(1, {"a"}), start, start), evacuation_change{});
+  EXPECT_EQ(known.apply(word_of(1, {"a"}), start, start), evacuation_change{});
 }
 
 TEST(hall_evacuations, opens_again_with_servers_known_from_after_the_end) {
   hall_evacuations known;
-  known.take(word_of(1, {"a", "b"}), start, start);
-  known.take(word_of(2, {"b"}), start, at_ms(100));
+  known.apply(word_of(1, {"a", "b"}), start, start);
+  known.apply(word_of(2, {"b"}), start, at_ms(100));
   EXPECT_TRUE(known.closed("a", at_ms(99)));
   EXPECT_FALSE(known.closed("a", at_ms(100)));
   EXPECT_TRUE(known.closed("b", at_ms(1000)));
@@ -55,18 +55,18 @@
 
 TEST(hall_evacuations, one_that_is_set_again_stays_closed_whatever_is_known) {
   hall_evacuations known;
-  known.take(word_of(1, {"a"}), start, start);
-  known.take(word_of(2, {}), start, at_ms(100));
-  known.take(word_of(3, {"a"}), start, at_ms(200));
+  known.apply(word_of(1, {"a"}), start, start);
+  known.apply(word_of(2, {}), start, at_ms(100));
+  known.apply(word_of(3, {"a"}), start, at_ms(200));
   EXPECT_TRUE(known.closed("a", at_ms(5000)));
 }
 
 TEST(hall_evacuations, a_late_word_proves_no_more_than_its_age_says) {
   hall_evacuations known;
-  known.take(word_of(1, {}, absl::Seconds(2)), at_ms(0), at_ms(500));
+  known.apply(word_of(1, {}, absl::Seconds(2)), at_ms(0), at_ms(500));
   EXPECT_EQ(known.age(at_ms(500)), absl::Milliseconds(2500));
   // Nobody asked for it, so that it may have been on its way for any time.
-  known.take(word_of(2, {"a"}), absl::InfinitePast(), at_ms(600));
+  known.apply(word_of(2, {"a"}), absl::InfinitePast(), at_ms(600));
   EXPECT_TRUE(known.closed("a", at_ms(600)));
   EXPECT_EQ(known.age(at_ms(600)), absl::Milliseconds(2600));
 }
@@ -111,20 +111,21 @@
     }
     newest = std::max(newest, revision);
     latest_proof = std::max(latest_proof, now - age);
-    known.take({revision, age, halls}, now, now);
+    known.apply({revision, age, halls}, now, now);
     const auto& truth = story[static_cast<size_t>(newest)];
-    RC_ASSERT(known.word(now) ==
-              (evacuation_word{newest, now - latest_proof, truth}));
-    const absl::Time servers_proof =
+    RC_ASSERT(known.snapshot(now) ==
+              (evacuation_snapshot{newest, now - latest_proof, truth}));
+    const absl::Time servers_verified_at =
         now - absl::Milliseconds(*rc::gen::inRange(0, 60));
     for (int i = 0; i < 3; ++i) {
       const std::string hall = absl::StrCat("h", i);
       const auto end = ends.find(hall);
-      const bool reopening = end != ends.end() && servers_proof < end->second;
-      RC_ASSERT(known.closed(hall, servers_proof) ==
+      const bool reopening =
+          end != ends.end() && servers_verified_at < end->second;
+      RC_ASSERT(known.closed(hall, servers_verified_at) ==
                 (truth.count(hall) != 0 || reopening));
-      RC_ASSERT(known.closed(hall, servers_proof) ==
-                (known.closed_halls(servers_proof).count(hall) != 0));
+      RC_ASSERT(known.closed(hall, servers_verified_at) ==
+                (known.closed_halls(servers_verified_at).count(hall) != 0));
     }
   }
 }
--- a/test/lease-turn-test.cc
+++ b/test/lease-takeover-test.cc
@@ -1,5 +1,5 @@
 // The start of a fleet: hundreds of nodes that know of no holder.
-#include "spokesail/lease-turn.h"
+#include "spokesail/lease-takeover.h"
 
 #include <absl/strings/str_cat.h>
 #include <gtest/gtest.h>
@@ -24,11 +24,11 @@
 
 TEST(lease_turn, candidates_go_one_after_the_other_and_before_all_others) {
   for (int rank = 1; rank < 12; ++rank) {
-    EXPECT_GT(takeover_wait(rank, 0), takeover_wait(rank - 1, 1));
-    EXPECT_GT(first_read_wait(rank, 0), first_read_wait(rank - 1, 1));
+    EXPECT_GT(takeover_delay(rank, 0), takeover_delay(rank - 1, 1));
+    EXPECT_GT(first_read_delay(rank, 0), first_read_delay(rank - 1, 1));
   }
-  EXPECT_GT(takeover_wait(std::nullopt, 0), takeover_wait(11, 1));
-  EXPECT_GT(first_read_wait(std::nullopt, 0), first_read_wait(11, 1));
+  EXPECT_GT(takeover_delay(std::nullopt, 0), takeover_delay(11, 1));
+  EXPECT_GT(first_read_delay(std::nullopt, 0), first_read_delay(11, 1));
 }
 
 /// A holder's word reaches all nodes within three relayed steps of 180 ms.
@@ -38,7 +38,7 @@
   int reads = 0;
   for (const auto& name : order) {
     const auto rank = lease_rank(order, name);
-    reads += first_read_wait(rank, 0.5) < first_read_wait(0, 0) + told;
+    reads += first_read_delay(rank, 0.5) < first_read_delay(0, 0) + told;
   }
   EXPECT_LE(reads, 5);
 }
--- a/test/lease-test.cc
+++ b/test/lease-test.cc
@@ -61,7 +61,7 @@
   lease own("hall", "a", timing);
   own.observe_absent(start);
   own.on_answer(took(*own.due(start, "w"), 1), start, 0);
-  const absl::Time later = start + timing.renew_every;
+  const absl::Time later = start + timing.renew_period;
   ASSERT_TRUE(own.due(later, "w2"));
   own.on_answer({call_status::conflict, {}}, later, 0);
   ASSERT_TRUE(own.due(later, "w3"));
@@ -124,7 +124,7 @@
   lease own("hall", "a", timing);
   own.observe_absent(start);
   own.on_answer(took(*own.due(start, "w"), 1), start, 0);
-  const absl::Time later = start + timing.renew_every;
+  const absl::Time later = start + timing.renew_period;
   const auto renewal = own.due(later, "w2");
   ASSERT_TRUE(renewal);
   own.release();
--- a/test/limit-fleet-test.cc
+++ b/test/limit-fleet-test.cc
@@ -7,8 +7,8 @@
 
 #include <algorithm>
 
-#include "spokesail/cold-allowance.h"
-#include "spokesail/cold-ledger.h"
+#include "spokesail/grant-client.h"
+#include "spokesail/grant-issuer.h"
 #include "spokesail/hash.h"
 #include "spokesail/limit-share.h"
 #include "spokesail/limit-spread.h"
@@ -30,7 +30,7 @@
 /// limit is first advertised. A node counts as informed `informed_after` after
 /// a server's answer first carried the limit.
 constexpr absl::Duration window = absl::Seconds(4);
-constexpr absl::Duration notice = absl::Seconds(3);
+constexpr absl::Duration report_suspect = absl::Seconds(3);
 constexpr absl::Duration informed_after = absl::Milliseconds(500);
 
 double allowed(double per_s) {
@@ -99,7 +99,8 @@
   double used_per_s() const {
     size_t out = 0;
     for (const auto& times : this->sent) out += times.size();
-    const double seconds = absl::ToDoubleSeconds(this->now - start - notice);
+    const double seconds =
+        absl::ToDoubleSeconds(this->now - start - report_suspect);
     return static_cast<double>(out) / servers / seconds;
   }
   /// Number of nodes that know a server's limit.
@@ -129,8 +130,8 @@
 
   struct node {
     server_limits limits;
-    cold_allowance allowance;
-    cold_ledger ledger;
+    grant_client allowance;
+    grant_issuer ledger;
     limit_share shares;
     absl::Time began;
     limit_spread spread;
@@ -146,8 +147,8 @@
     absl::Time sent;
     /// Messages only.
     size_t from = 0;
-    cold_request asked;
-    std::optional<cold_grant> given;
+    grant_request asked;
+    std::optional<grant_response> given;
     std::vector<limit_report> reports;
   };
 
@@ -172,14 +173,14 @@
     this->later(this->random.unit() * absl::Milliseconds(20), std::move(e));
   }
 
-  cold_grant grant(node& holder, const cold_request& asked) {
+  grant_response grant(node& holder, const grant_request& asked) {
     for (const auto& known : asked.limits) holder.limits.take(known, this->now);
     return holder.ledger.answer(
         asked,
-        [&](const server_count& wanted) {
+        [&](const server_request_count& wanted) {
           const auto takes =
               holder.limits.find({wanted.server, wanted.incarnation});
-          return takes ? bucket_for_limit(*takes) : cold_bucket();
+          return takes ? bucket_for_limit(*takes) : token_bucket_params();
         },
         this->now);
   }
@@ -187,8 +188,8 @@
   void ask(size_t i) {
     node& n = this->nodes[i];
     n.allowance.expire(this->now);
-    if (!n.allowance.due(this->now)) return;
-    cold_request asked = n.allowance.ask(++this->nonce, this->now);
+    if (!n.allowance.request_due(this->now)) return;
+    grant_request asked = n.allowance.ask(++this->nonce, this->now);
     for (const auto& wanted : asked.wanted) {
       const auto known =
           n.limits.report({wanted.server, wanted.incarnation}, this->now);
@@ -222,8 +223,8 @@
                      n.shares.has(to, *takes, sharing, this->now, drawn) &&
                      n.shares.use(to, this->now);
     const bool may = own || n.allowance.use(to.server, this->now);
-    n.allowance.wish(to.server, to.incarnation,
-                     cold_allowance::most_limited_requests);
+    n.allowance.add_demand(to.server, to.incarnation,
+                           grant_client::max_limited_requests);
     return may;
   }
 
@@ -257,7 +258,7 @@
       const auto informed_at = n.informed_at.find(name_of(s));
       const bool informed = informed_at != n.informed_at.end() &&
                             this->now - informed_at->second >= informed_after;
-      if (this->now - start >= notice && this->per_s) {
+      if (this->now - start >= report_suspect && this->per_s) {
         this->sent[static_cast<size_t>(s)].push_back(this->now);
         if (informed) {
           this->sent_when_informed[static_cast<size_t>(s)].push_back(this->now);
@@ -521,9 +522,9 @@
 
 TEST(limit_bucket, keeps_every_window_below_the_bound) {
   const double seconds = absl::ToDoubleSeconds(
-      window + cold_timing().grant_time + limit_share::slot_lifetime);
+      window + grant_timing().grant_lifetime + limit_share::slot_lifetime);
   for (double per_s = 0.05; per_s < 500; per_s *= 1.1) {
-    const cold_bucket b = bucket_for_limit(per_s);
+    const token_bucket_params b = bucket_for_limit(per_s);
     EXPECT_LE(b.burst + b.per_s * seconds, allowed(per_s)) << per_s;
     EXPECT_GE(b.burst, 1);
   }
--- a/test/membership-test.cc
+++ b/test/membership-test.cc
@@ -8,8 +8,8 @@
 const absl::Time start = absl::UnixEpoch() + absl::Hours(1);
 const absl::Duration ahead = absl::Hours(5);  // the peer's clock
 
-beat beat_at(int64_t sequence, absl::Time sent, uint64_t boot = 1) {
-  beat b;
+heartbeat heartbeat_at(int64_t sequence, absl::Time sent, uint64_t boot = 1) {
+  heartbeat b;
   b.from = {"b", "hall", "peer-b", "http-b"};
   b.boot = boot;
   b.sequence = sequence;
@@ -17,8 +17,8 @@
   return b;
 }
 
-beat_ack ack_at(absl::Time taken) {
-  beat_ack ack;
+heartbeat_ack ack_at(absl::Time taken) {
+  heartbeat_ack ack;
   ack.from = {"b", "hall", "peer-b", "http-b"};
   ack.boot = 1;
   ack.taken = taken + ahead;
@@ -30,13 +30,13 @@
   m.on_ack(ack_at(start + absl::Milliseconds(1)), start);
   EXPECT_TRUE(m.alive(*m.find("b"), start + absl::Seconds(1)));
   // This node was paused: the beat sent at 1 s is taken at 20 s.
-  m.on_beat(beat_at(2, start + absl::Seconds(1)));
+  m.on_heartbeat(heartbeat_at(2, start + absl::Seconds(1)));
   EXPECT_FALSE(m.alive(*m.find("b"), start + absl::Seconds(20)));
 }
 
 TEST(membership, a_beat_on_an_unknown_clock_proves_nothing) {
   membership m({"a", "hall", "peer-a", "http-a"}, absl::Seconds(2));
-  m.on_beat(beat_at(1, start));
+  m.on_heartbeat(heartbeat_at(1, start));
   EXPECT_FALSE(m.alive(*m.find("b"), start));
 }
 
@@ -44,19 +44,19 @@
   membership m({"a", "hall", "peer-a", "http-a"}, absl::Seconds(2));
   // The peer was paused for 5 s between our sending and its answer.
   m.on_ack(ack_at(start + absl::Seconds(5)), start);
-  m.on_beat(beat_at(1, start + absl::Seconds(6)));
+  m.on_heartbeat(heartbeat_at(1, start + absl::Seconds(6)));
   EXPECT_FALSE(m.alive(*m.find("b"), start + absl::Seconds(6)));
   m.on_ack(ack_at(start + absl::Seconds(6)), start + absl::Seconds(6));
-  m.on_beat(beat_at(2, start + absl::Seconds(7)));
+  m.on_heartbeat(heartbeat_at(2, start + absl::Seconds(7)));
   EXPECT_TRUE(m.alive(*m.find("b"), start + absl::Seconds(7)));
 }
 
 TEST(membership, reordered_and_repeated_beats_are_passed_over) {
   membership m({"a", "hall", "peer-a", "http-a"}, absl::Seconds(2));
-  EXPECT_TRUE(m.on_beat(beat_at(2, start)));
-  EXPECT_FALSE(m.on_beat(beat_at(1, start)));
-  EXPECT_FALSE(m.on_beat(beat_at(2, start)));
-  EXPECT_TRUE(m.on_beat(beat_at(1, start, 2)));  // it started anew
+  EXPECT_TRUE(m.on_heartbeat(heartbeat_at(2, start)));
+  EXPECT_FALSE(m.on_heartbeat(heartbeat_at(1, start)));
+  EXPECT_FALSE(m.on_heartbeat(heartbeat_at(2, start)));
+  EXPECT_TRUE(m.on_heartbeat(heartbeat_at(1, start, 2)));  // it started anew
 }
 
 TEST(membership, beats_go_to_the_hall_and_one_node_of_each_other) {
@@ -64,7 +64,7 @@
   m.add_address("hall", "peer-b");
   m.add_address("hall", "peer-c");
   for (int i = 0; i < 9; i++) m.add_address("far", "far-" + std::to_string(i));
-  EXPECT_EQ(m.beat_addresses(start).size(), 3U);
+  EXPECT_EQ(m.heartbeat_addresses(start).size(), 3U);
 }
 
 }  // namespace
--- a/test/model-shares-test.cc
+++ b/test/model-shares-test.cc
@@ -14,7 +14,7 @@
   engine.slots = 10;
   engine.step_ms = 5;
   engine.step_ms_per_request = 0.5;
-  engine.read_tokens_per_ms = 50;
+  engine.prefill_tokens_per_ms = 50;
   engine.models = {
       {"large", large, 0.5, 1, absl::Seconds(16), absl::Milliseconds(1600)},
       {"small", small, 0.5, 0.5, absl::Seconds(12), absl::Milliseconds(1100)}};
@@ -61,27 +61,27 @@
   EXPECT_TRUE(groups_fit(of_8_and_2, {{"large", 1}, {"small", 3}}, {{15}, 1}));
 }
 
-TEST(divide_hosts, makes_the_use_of_unequal_models_level) {
+TEST(allocate_hosts, makes_the_use_of_unequal_models_level) {
   const engine_profile engine = two_sizes(8, 4);
-  const host_room room{std::vector<int>(9, 16), 3};
+  const host_capacity room{std::vector<int>(9, 16), 3};
   const count_by_model level = {{"large", 9}, {"small", 18}};
-  EXPECT_EQ(divide_hosts(engine, room, {{"large", 5}, {"small", 10}}), level);
+  EXPECT_EQ(allocate_hosts(engine, room, {{"large", 5}, {"small", 10}}), level);
   // The proportion of hosts is 35 to 56.
   const count_by_model uneven = {{"large", 7}, {"small", 22}};
-  EXPECT_EQ(divide_hosts(engine, room, {{"large", 4.4}, {"small", 14}}),
+  EXPECT_EQ(allocate_hosts(engine, room, {{"large", 4.4}, {"small", 14}}),
             uneven);
 }
 
 /// Any demand and any domains: what is divided fits, and floors are kept.
-RC_GTEST_PROP(divide_hosts, fits_and_keeps_floors,
+RC_GTEST_PROP(allocate_hosts, fits_and_keeps_floors,
               (uint16_t large, uint16_t small)) {
   const engine_profile engine = two_sizes(8, *rc::gen::element(2, 4));
-  host_room room;
+  host_capacity room;
   room.halls = *rc::gen::inRange(1, 4);
   for (int i = 0; i < room.halls; ++i) {
     room.domains.push_back(*rc::gen::inRange(12, 34));
   }
-  const auto counts = divide_hosts(
+  const auto counts = allocate_hosts(
       engine, room, {{"large", large / 2000.0}, {"small", small / 2000.0}});
   RC_ASSERT(groups_fit(engine, counts, room));
   const int floor = std::min(room.halls, 2);
@@ -89,7 +89,7 @@
   RC_ASSERT(counts.at("small") >= floor);
 }
 
-const host_room nine_domains{std::vector<int>(9, 16), 3};
+const host_capacity nine_domains{std::vector<int>(9, 16), 3};
 const count_by_model stated = {{"large", 9}, {"small", 18}};
 
 /// Feeds one second after another; returns that of the first change.
@@ -98,8 +98,8 @@
   const engine_profile engine = two_sizes(8, 4);
   const absl::Time began = absl::FromUnixSeconds(1000);
   for (int i = 0; i < seconds; ++i) {
-    if (shares.take(engine, nine_domains, stated, need_at(i),
-                    began + absl::Seconds(i))) {
+    if (shares.add_sample(engine, nine_domains, stated, need_at(i),
+                          began + absl::Seconds(i))) {
       return i;
     }
   }
@@ -144,13 +144,13 @@
   for (const bool fewer : {false, true}) {
     engine_profile engine = two_sizes(8, 4);
     model_shares shares;
-    shares.take_share("large", 0.2);
-    shares.take_share("small", 0.8);
-    shares.take_statement(engine);
+    shares.restore_share("large", 0.2);
+    shares.restore_share("small", 0.8);
+    shares.sync_configured_shares(engine);
     EXPECT_EQ(shares.share(engine.models[0]), 0.2);
     engine.models[0].share = 0.6;
     if (fewer) engine.models.pop_back();
-    shares.take_statement(engine);
+    shares.sync_configured_shares(engine);
     EXPECT_EQ(shares.share(engine.models[0]), 0.6);
     EXPECT_TRUE(shares.changed().empty());
   }
--- a/test/node-fixture.h
+++ b/test/node-fixture.h
@@ -28,7 +28,7 @@
 using fleet_request = fleet_standin::request;
 
 /// Longest that a test waits for something that has to come about.
-inline constexpr absl::Duration patience = absl::Seconds(20);
+inline constexpr absl::Duration wait_timeout = absl::Seconds(20);
 
 inline constexpr int stream_events = 12;
 
@@ -73,17 +73,17 @@
     s->metrics_address = free_address();
     s->peer_address = free_address();
     s->platform_address = this->fleet->store_address();
-    s->bounds.revoke_time = absl::Seconds(3);
-    s->bounds.evacuate_time = this->evacuate_time;
+    s->bounds.revoke_deadline = absl::Seconds(3);
+    s->bounds.evacuate_deadline = this->evacuate_deadline;
     s->keys_fail_closed = this->keys_fail_closed;
     s->policy = this->policy;
     s->memory = this->memory;
     s->stop_grace = absl::Seconds(8);
-    s->repeats = this->repeats;
+    s->retries = this->retries;
     s->lease.duration = absl::Milliseconds(1200);
-    s->lease.renew_every = absl::Milliseconds(300);
+    s->lease.renew_period = absl::Milliseconds(300);
     s->lease.margin = absl::Milliseconds(300);
-    s->lease.takeover_spread = absl::Milliseconds(100);
+    s->lease.takeover_jitter = absl::Milliseconds(100);
     this->nodes.push_back(
         std::make_unique<node_process>(*s, *this->loop, test_log()));
     ASSERT_TRUE(this->nodes.back()->listen());
@@ -113,7 +113,7 @@
   }
 
   bool wait_until(const std::function<bool()>& done) {
-    const absl::Time until = boot_now() + patience;
+    const absl::Time until = boot_now() + wait_timeout;
     while (boot_now() < until) {
       if (this->on_loop(done)) return true;
       std::this_thread::sleep_for(std::chrono::milliseconds(10));
@@ -135,16 +135,16 @@
       }
       return true;
     }));
-    if (this->nodes_are_old) this->age_nodes(count);
+    if (this->nodes_long_running) this->simulate_long_uptime(count);
   }
 
   /// Has the nodes spend repeats as those that have run for long: a process
   /// that has just started leaves them to the one before it.
-  void age_nodes(int count) {
+  void simulate_long_uptime(int count) {
     this->on_loop([this, count] {
       for (auto& node : this->nodes) {
         node_context& state = node->context();
-        state.repeats = repeat_budget(this->repeats, absl::InfinitePast());
+        state.retries = retry_budget(this->retries, absl::InfinitePast());
         state.fleet.note(count, state.now());
       }
       return 0;
@@ -176,7 +176,7 @@
     return socket;
   }
 
-  fleet_standin::response ask(fleet_request out, int node = 0) {
+  fleet_standin::response send_request(fleet_request out, int node = 0) {
     auto socket = this->connect(node);
     out.prepare_payload();
     http::write(socket, out);
@@ -189,7 +189,7 @@
   }
 
   /// What comes back for raw bytes, until the connection closes.
-  std::string ask_raw(const std::string& bytes) {
+  std::string send_raw(const std::string& bytes) {
     auto socket = this->connect();
     net::write(socket, net::buffer(bytes));
     std::string in;
@@ -240,9 +240,9 @@
   node_policy policy;
   size_t memory = 0;
   /// Whether nodes count as having run for long once they have started.
-  bool nodes_are_old = true;
-  repeat_limits repeats{0.2, absl::Seconds(10), 100};
-  std::optional<absl::Duration> evacuate_time;
+  bool nodes_long_running = true;
+  retry_limits retries{0.2, absl::Seconds(10), 100};
+  std::optional<absl::Duration> evacuate_deadline;
   std::vector<std::unique_ptr<node_process>> nodes;
   std::thread thread;
   net::io_context client;
--- a/test/node-message-test.cc
+++ b/test/node-message-test.cc
@@ -20,7 +20,7 @@
   return {"node-1", "hall", 77, 3, 0.25, std::move(content)};
 }
 
-holder_word sample_holder() {
+holder_state sample_holder() {
   return {{5, R"({"holder":"x"})"}, 8, {"s2", "s3"}, 4, {{"lm", "large", 0.3}}};
 }
 
@@ -30,7 +30,7 @@
   g.holder = sample_holder();
   g.requests_seen = true;
   g.hall_nodes = 60;
-  g.hall_firsts = {"node-1", "node-2"};
+  g.hall_contacts = {"node-1", "node-2"};
   g.speeds = {{"large.7", 2.5, 12}};
   g.demand = {{"lm", "large", 40, 28000, 4500, 1.5}};
   const auto bytes = encode(sample(g));
@@ -41,12 +41,12 @@
 
 TEST(node_message, questions_and_grants_for_cold_servers_come_back) {
   const std::vector<message_content> contents = {
-      cold_request{7, {{"s1", 1780000000123, 2}, {"s2", 0, 1}}},
-      cold_grant{7, {{"s1", 1780000000123, 1}}},
-      cold_request{8, {{"s1", 4, 2}}, {{{"s1", 4}, 1.4, absl::Seconds(3)}}},
-      cold_grant{8, {}, {{{"s1", 4}, std::nullopt, absl::Seconds(1)}}},
-      limit_news{{{{"s1", 4}, 0.0, absl::Milliseconds(7)},
-                  {{"s2", 0}, std::nullopt, absl::ZeroDuration()}}}};
+      grant_request{7, {{"s1", 1780000000123, 2}, {"s2", 0, 1}}},
+      grant_response{7, {{"s1", 1780000000123, 1}}},
+      grant_request{8, {{"s1", 4, 2}}, {{{"s1", 4}, 1.4, absl::Seconds(3)}}},
+      grant_response{8, {}, {{{"s1", 4}, std::nullopt, absl::Seconds(1)}}},
+      limit_update{{{{"s1", 4}, 0.0, absl::Milliseconds(7)},
+                    {{"s2", 0}, std::nullopt, absl::ZeroDuration()}}}};
   for (const auto& content : contents) {
     const auto bytes = encode(sample(content));
     const auto back = decode_message(bytes.data(), bytes.size());
@@ -59,11 +59,11 @@
   crash_report said;
   said.evidence = {
       {{1, 2},
-       {{{77, {run_point::start, true, false}}, {78, {4, false, true}}}, 4},
+       {{{77, {run_progress::start, true, false}}, {78, {4, false, true}}}, 4},
        absl::Seconds(3)},
-      {{5, 6}, {{}, run_point::whole}, absl::ZeroDuration()}};
+      {{5, 6}, {{}, run_progress::completed}, absl::ZeroDuration()}};
   said.digest = 99;
-  said.asks = true;
+  said.wants_reply = true;
   const auto bytes = encode(sample(said));
   const auto back = decode_message(bytes.data(), bytes.size());
   ASSERT_TRUE(back);
@@ -71,7 +71,7 @@
 }
 
 TEST(node_message, news_come_back_as_they_were) {
-  news n;
+  store_update n;
   n.nonce = 9;
   n.config_revision = 4;
   n.config_age = absl::Milliseconds(120);
@@ -83,8 +83,8 @@
   n.servers = {{sample_server(), false, absl::Milliseconds(30)},
                {sample_server(), true, absl::ZeroDuration()}};
   n.holder = sample_holder();
-  n.far_places = {{"small.9", 12, 256}};
-  n.far_nodes = 240;
+  n.remote_places = {{"small.9", 12, 256}};
+  n.remote_nodes = 240;
   n.all_servers = true;
   n.requests_seen = true;
   const auto bytes = encode(sample(n));
@@ -94,10 +94,10 @@
 }
 
 TEST(node_message, a_request_comes_back_as_it_was) {
-  const auto bytes = encode(sample(news_request{3, {11, 14}}));
+  const auto bytes = encode(sample(store_update_request{3, {11, 14}}));
   const auto back = decode_message(bytes.data(), bytes.size());
   ASSERT_TRUE(back);
-  EXPECT_EQ(*back, sample(news_request{3, {11, 14}}));
+  EXPECT_EQ(*back, sample(store_update_request{3, {11, 14}}));
 }
 
 TEST(node_message, a_suspicion_comes_back_as_it_was) {
@@ -108,14 +108,14 @@
 }
 
 TEST(node_message, a_holders_later_word_is_known_by_version_and_sequence) {
-  holder_word first = sample_holder();
-  holder_word later = first;
+  holder_state first = sample_holder();
+  holder_state later = first;
   later.sequence++;
-  EXPECT_TRUE(later.after(first));
-  EXPECT_FALSE(first.after(first));
+  EXPECT_TRUE(later.newer_than(first));
+  EXPECT_FALSE(first.newer_than(first));
   first.lease.version++;
   first.sequence = 0;
-  EXPECT_TRUE(first.after(later));
+  EXPECT_TRUE(first.newer_than(later));
 }
 
 RC_GTEST_PROP(node_message, no_bytes_do_harm,
@@ -124,7 +124,7 @@
 }
 
 RC_GTEST_PROP(node_message, spoiled_messages_do_no_harm, ()) {
-  news n;
+  store_update n;
   n.servers = {{sample_server(), false, absl::ZeroDuration()}};
   std::string bytes = encode(sample(n));
   const auto hits = *rc::gen::inRange(1, 6);
--- a/test/node-test.cc
+++ b/test/node-test.cc
@@ -7,7 +7,7 @@
 
 TEST_F(node_test, serves_a_stream_whole_and_tells_the_workspace) {
   this->start(1);
-  const auto answer = this->ask(stream_request("r1"));
+  const auto answer = this->send_request(stream_request("r1"));
   EXPECT_EQ(answer.result_int(), 200U);
   EXPECT_EQ(event_ids(answer.body()), all_ids());
   EXPECT_NE(answer.find("X-Response-Stamp"), answer.end());
@@ -19,7 +19,7 @@
 TEST_F(node_test, goes_on_with_a_broken_stream_in_the_same_answer) {
   this->start(1);
   this->on_loop([&] { return this->fleet->faults.break_after_events = 4; });
-  const auto answer = this->ask(stream_request("r1"));
+  const auto answer = this->send_request(stream_request("r1"));
   EXPECT_EQ(event_ids(answer.body()), all_ids());
   EXPECT_EQ(this->runs("r1"), 2);
 }
@@ -33,7 +33,8 @@
     return 0;
   });
   for (int i = 0; i < 8; ++i) {
-    const auto answer = this->ask(stream_request(absl::StrCat("r", i)));
+    const auto answer =
+        this->send_request(stream_request(absl::StrCat("r", i)));
     EXPECT_EQ(event_ids(answer.body()), all_ids());
   }
   EXPECT_TRUE(
@@ -47,12 +48,12 @@
   void fill_groups(int running, absl::Duration time) {
     this->on_loop([&] {
       node_context& state = this->nodes[0]->context();
-      std::vector<place_load> loads;
+      std::vector<endpoint_load> loads;
       for (const auto& group : state.groups("lm")) {
         loads.push_back({group.name, running, 0});
       }
-      state.loads.take_peer("other", loads,
-                            state.now() + time - load_table::peer_time);
+      state.loads.update_peer("other", loads,
+                              state.now() + time - load_table::peer_timeout);
       return 0;
     });
   }
@@ -60,8 +61,8 @@
 
 TEST_F(full_groups_test, are_refused_with_a_fixed_time_without_admission) {
   this->start(1);
-  this->fill_groups(500, patience);
-  const auto answer = this->ask(stream_request("r1"));
+  this->fill_groups(500, wait_timeout);
+  const auto answer = this->send_request(stream_request("r1"));
   EXPECT_EQ(answer.result_int(), 503U);
   EXPECT_EQ(answer[http::field::retry_after], "0.400");
   EXPECT_EQ(answer.body(), "no group has room");
@@ -70,8 +71,8 @@
 TEST_F(full_groups_test, are_refused_with_the_time_of_a_place_by_admission) {
   this->policy.admit_in_time = true;
   this->start(1);
-  this->fill_groups(500, patience);
-  const auto answer = this->ask(stream_request("r1"));
+  this->fill_groups(500, wait_timeout);
+  const auto answer = this->send_request(stream_request("r1"));
   EXPECT_EQ(answer.result_int(), 503U);
   EXPECT_EQ(answer.body(), "no group has room");
   const double told = std::stod(std::string(answer["Retry-After"]));
@@ -85,7 +86,7 @@
   this->policy.admit_in_time = true;
   this->start(1);
   this->fill_groups(8, absl::Milliseconds(60));
-  const auto answer = this->ask(stream_request("r1"));
+  const auto answer = this->send_request(stream_request("r1"));
   EXPECT_EQ(answer.result_int(), 200U);
   EXPECT_EQ(event_ids(answer.body()), all_ids());
 }
@@ -94,7 +95,8 @@
   this->policy.admit_in_time = true;
   this->start(1);
   for (int i = 0; i < 8; ++i) {
-    const auto answer = this->ask(stream_request(absl::StrCat("r", i)));
+    const auto answer =
+        this->send_request(stream_request(absl::StrCat("r", i)));
     EXPECT_EQ(event_ids(answer.body()), all_ids());
   }
 }
@@ -135,7 +137,7 @@
     node_context& state = this->nodes[0]->context();
     state.fleet.note(9, state.now());
     state.live_nodes = 1;
-    return state.sharing_nodes();
+    return state.capacity_sharing_nodes();
   });
   EXPECT_EQ(sharing, 9);
 }
@@ -143,14 +145,15 @@
 TEST_F(node_test, says_502_when_a_call_that_may_run_once_has_lost_its_answer) {
   this->start(1);
   this->on_loop([&] { return this->fleet->faults.lose_plain_answers = true; });
-  EXPECT_EQ(this->ask(request("r1", "/file/minutes")).result_int(), 502U);
+  EXPECT_EQ(this->send_request(request("r1", "/file/minutes")).result_int(),
+            502U);
   EXPECT_EQ(this->runs("r1"), 1);
 }
 
 TEST_F(node_test, says_503_only_when_no_server_has_run_the_call) {
   this->start(1);
   this->on_loop([&] { return this->fleet->faults.shed_plain = true; });
-  const auto answer = this->ask(request("r1", "/file/minutes"));
+  const auto answer = this->send_request(request("r1", "/file/minutes"));
   EXPECT_EQ(answer.result_int(), 503U);
   EXPECT_NE(answer.find(http::field::retry_after), answer.end());
   EXPECT_EQ(this->runs("r1"), 0);
@@ -159,10 +162,12 @@
 TEST_F(node_test, repeats_a_failed_call_only_if_it_may_be_repeated) {
   this->start(1);
   this->on_loop([&] { return this->fleet->faults.fail_plain_calls = 1; });
-  EXPECT_EQ(this->ask(request("r1", "/look/minutes")).result_int(), 200U);
+  EXPECT_EQ(this->send_request(request("r1", "/look/minutes")).result_int(),
+            200U);
   EXPECT_EQ(this->runs("r1"), 2);
   this->on_loop([&] { return this->fleet->faults.fail_plain_calls = 1; });
-  EXPECT_EQ(this->ask(request("r2", "/file/minutes")).result_int(), 500U);
+  EXPECT_EQ(this->send_request(request("r2", "/file/minutes")).result_int(),
+            500U);
   EXPECT_EQ(this->runs("r2"), 1);
 }
 
@@ -170,14 +175,16 @@
   this->policy.repeat_failed_calls = false;
   this->start(1);
   this->on_loop([&] { return this->fleet->faults.fail_plain_calls = 1; });
-  EXPECT_EQ(this->ask(request("r1", "/look/minutes")).result_int(), 500U);
+  EXPECT_EQ(this->send_request(request("r1", "/look/minutes")).result_int(),
+            500U);
   EXPECT_EQ(this->runs("r1"), 1);
 }
 
 TEST_F(node_test, learns_no_speeds_where_policy_does_not_say_so) {
   this->start(2);
-  EXPECT_EQ(this->ask(request("r1", "/look/minutes")).result_int(), 200U);
-  EXPECT_EQ(this->ask(stream_request("r2")).result_int(), 200U);
+  EXPECT_EQ(this->send_request(request("r1", "/look/minutes")).result_int(),
+            200U);
+  EXPECT_EQ(this->send_request(stream_request("r2")).result_int(), 200U);
   EXPECT_TRUE(
       this->on_loop([&] { return this->nodes[0]->context().speeds.empty(); }));
 }
@@ -185,24 +192,27 @@
 TEST_F(node_test, learns_speeds_from_streams_and_calls_where_policy_says_so) {
   this->policy.learn_speeds = true;
   this->start(1);
-  EXPECT_EQ(this->ask(request("r1", "/look/minutes")).result_int(), 200U);
+  EXPECT_EQ(this->send_request(request("r1", "/look/minutes")).result_int(),
+            200U);
   EXPECT_FALSE(
       this->on_loop([&] { return this->nodes[0]->context().speeds.empty(); }));
-  EXPECT_EQ(this->ask(stream_request("r2")).result_int(), 200U);
+  EXPECT_EQ(this->send_request(stream_request("r2")).result_int(), 200U);
 }
 
 TEST_F(node_test, never_passes_on_the_answer_to_another_request) {
   this->start(1);
   this->on_loop([&] { return this->fleet->faults.cross_plain_answers = true; });
-  EXPECT_EQ(this->ask(request("r1", "/file/minutes")).result_int(), 502U);
-  EXPECT_EQ(this->ask(request("r2", "/look/minutes")).result_int(), 502U);
+  EXPECT_EQ(this->send_request(request("r1", "/file/minutes")).result_int(),
+            502U);
+  EXPECT_EQ(this->send_request(request("r2", "/look/minutes")).result_int(),
+            502U);
 }
 
 TEST_F(node_test, keeps_a_plain_answer_as_it_is) {
   this->start(1);
   auto out = request("r1", "/look/minutes?page=2");
   out.body() = "some body";
-  const auto answer = this->ask(out);
+  const auto answer = this->send_request(out);
   EXPECT_EQ(answer.result_int(), 200U);
   EXPECT_EQ(answer.body(), "path /look/minutes?page=2");
   EXPECT_EQ(this->on_loop([&] { return this->fleet->record.bodies["r1"]; }),
@@ -211,8 +221,10 @@
 
 TEST_F(node_test, refuses_keys_that_are_unknown_or_taken_away) {
   this->start(1);
-  EXPECT_EQ(this->ask(request("r1", "/look/a", "none")).result_int(), 401U);
-  EXPECT_EQ(this->ask(request("r2", "/look/a", "key-2")).result_int(), 200U);
+  EXPECT_EQ(this->send_request(request("r1", "/look/a", "none")).result_int(),
+            401U);
+  EXPECT_EQ(this->send_request(request("r2", "/look/a", "key-2")).result_int(),
+            200U);
   this->on_loop([&] {
     this->fleet->configure(this->fleet->sample_config({"key-1"}));
     return 0;
@@ -221,8 +233,9 @@
     const auto& routes = this->nodes[0]->context().routes;
     return routes->find_workspace("key-2") == nullptr;
   }));
-  EXPECT_EQ(this->ask(request("r3", "/look/a", "key-2")).result_int(), 401U);
-  EXPECT_EQ(this->ask(request("r4", "/nowhere/a")).result_int(), 404U);
+  EXPECT_EQ(this->send_request(request("r3", "/look/a", "key-2")).result_int(),
+            401U);
+  EXPECT_EQ(this->send_request(request("r4", "/nowhere/a")).result_int(), 404U);
 }
 
 TEST_F(node_test, trusts_no_key_once_its_knowledge_is_too_old) {
@@ -230,14 +243,14 @@
   this->on_loop([&] { return this->fleet->faults.store_silent = true; });
   ASSERT_TRUE(this->wait_until(
       [this] { return !this->nodes[0]->context().config_fresh(); }));
-  EXPECT_EQ(this->ask(request("r1", "/look/a")).result_int(), 503U);
+  EXPECT_EQ(this->send_request(request("r1", "/look/a")).result_int(), 503U);
   EXPECT_FALSE(
       this->on_loop([&] { return this->nodes[0]->context().ready(); }));
   EXPECT_EQ(this->runs("r1"), 0);
   this->on_loop([&] { return this->fleet->faults.store_silent = false; });
   ASSERT_TRUE(
       this->wait_until([this] { return this->nodes[0]->context().ready(); }));
-  EXPECT_EQ(this->ask(request("r2", "/look/a")).result_int(), 200U);
+  EXPECT_EQ(this->send_request(request("r2", "/look/a")).result_int(), 200U);
 }
 
 TEST_F(node_test, serves_on_with_known_keys_where_they_need_not_fail_closed) {
@@ -246,15 +259,17 @@
   this->on_loop([&] { return this->fleet->faults.store_silent = true; });
   ASSERT_TRUE(this->wait_until(
       [this] { return !this->nodes[0]->context().config_fresh(); }));
-  EXPECT_EQ(this->ask(request("r1", "/look/a")).result_int(), 200U);
+  EXPECT_EQ(this->send_request(request("r1", "/look/a")).result_int(), 200U);
   EXPECT_TRUE(this->on_loop([&] { return this->nodes[0]->context().ready(); }));
   // What it does not know may have been added meanwhile.
-  EXPECT_EQ(this->ask(request("r2", "/look/a", "key-9")).result_int(), 503U);
-  EXPECT_EQ(this->ask(request("r3", "/nowhere/a")).result_int(), 503U);
+  EXPECT_EQ(this->send_request(request("r2", "/look/a", "key-9")).result_int(),
+            503U);
+  EXPECT_EQ(this->send_request(request("r3", "/nowhere/a")).result_int(), 503U);
   this->on_loop([&] { return this->fleet->faults.store_silent = false; });
   ASSERT_TRUE(this->wait_until(
       [this] { return this->nodes[0]->context().config_fresh(); }));
-  EXPECT_EQ(this->ask(request("r4", "/look/a", "key-9")).result_int(), 401U);
+  EXPECT_EQ(this->send_request(request("r4", "/look/a", "key-9")).result_int(),
+            401U);
 }
 
 TEST_F(node_test, a_follower_leaves_a_relay_that_the_store_turns_away) {
@@ -294,10 +309,12 @@
   ASSERT_TRUE(this->wait_until([&] {
     return state.routes->find_workspace("key-3") != nullptr && state.ready();
   }));
-  EXPECT_EQ(this->ask(request("r1", "/look/a", "key-3"), at).result_int(),
-            200U);
-  EXPECT_EQ(this->ask(request("r2", "/look/a", "key-2"), at).result_int(),
-            401U);
+  EXPECT_EQ(
+      this->send_request(request("r1", "/look/a", "key-3"), at).result_int(),
+      200U);
+  EXPECT_EQ(
+      this->send_request(request("r2", "/look/a", "key-2"), at).result_int(),
+      401U);
 }
 
 TEST_F(node_test, a_node_that_starts_hears_of_the_servers_from_a_peer) {
@@ -310,7 +327,7 @@
   });
   node_context& state = this->nodes.back()->context();
   ASSERT_TRUE(this->wait_until([&] { return state.ready(); }));
-  EXPECT_EQ(this->ask(request("r1", "/look/a"), 2).result_int(), 200U);
+  EXPECT_EQ(this->send_request(request("r1", "/look/a"), 2).result_int(), 200U);
   EXPECT_EQ(this->on_loop([this] { return this->fleet->record.server_lists; }),
             lists);
 }
@@ -335,7 +352,7 @@
     return 0;
   });
   EXPECT_TRUE(known(false));
-  EXPECT_EQ(this->ask(request("r1", "/look/a")).result_int(), 200U);
+  EXPECT_EQ(this->send_request(request("r1", "/look/a")).result_int(), 200U);
   this->on_loop([&] {
     this->fleet->faults.spoiled_entries.clear();
     return 0;
@@ -422,7 +439,7 @@
     this->nodes[0]->stop("test");
     // As if the stop had begun a while ago.
     node_context& state = this->nodes[0]->context();
-    state.stopping_since = state.now() - node_timing::last_requests;
+    state.stopping_since = state.now() - node_timing::stop_accept_time;
     return 0;
   });
   auto out = stream_request("r1");
@@ -457,7 +474,7 @@
       "Content-Length: -1\r\n\r\n",
       "Content-Length : 3\r\n\r\nabc"};
   for (const auto& framing : framings) {
-    const std::string answer = this->ask_raw(head + framing + inner);
+    const std::string answer = this->send_raw(head + framing + inner);
     EXPECT_EQ(answer.find("HTTP/1.1 200"), std::string::npos) << framing;
     EXPECT_NE(answer.find(" 400 "), std::string::npos) << framing << answer;
   }
@@ -469,13 +486,13 @@
   this->start(1);
   auto large = request("r1", "/look/a");
   large.body() = std::string(70000, 'x');
-  EXPECT_EQ(this->ask(large).result_int(), 413U);
+  EXPECT_EQ(this->send_request(large).result_int(), 413U);
   auto long_head = request("r2", "/look/a");
   long_head.set("X-Filler", std::string(20000, 'x'));
-  EXPECT_EQ(this->ask(long_head).result_int(), 431U);
+  EXPECT_EQ(this->send_request(long_head).result_int(), 431U);
   auto nameless = request("r3", "/look/a");
   nameless.erase("X-Request-Id");
-  EXPECT_EQ(this->ask(nameless).result_int(), 400U);
+  EXPECT_EQ(this->send_request(nameless).result_int(), 400U);
 }
 
 /// The load of a moment at which many nodes start again: each write and each
--- a/test/peer-test.cc
+++ b/test/peer-test.cc
@@ -12,7 +12,7 @@
 constexpr char address_b[] = "127.0.0.1:20932";
 
 /// Tries, each after a short sleep, before a test gives up.
-constexpr int most_tries = 400;
+constexpr int max_tries = 400;
 
 /// A link that answers every beat and counts those it took.
 class answering_node {
@@ -22,7 +22,7 @@
             address, [this](event_body e) { this->take(std::move(e)); },
             [](const char*, size_t) {})) {}
 
-  int beats() {
+  int heartbeats() {
     absl::MutexLock lock(&this->mutex);
     return this->taken;
   }
@@ -30,34 +30,34 @@
     absl::MutexLock lock(&this->mutex);
     return this->answered;
   }
-  beat last() {
+  heartbeat last() {
     absl::MutexLock lock(&this->mutex);
     return this->latest;
   }
 
   /// Sends beats until one more has been answered.
-  bool reach(const std::string& address, const beat& b) {
+  bool reach(const std::string& address, const heartbeat& b) {
     const int before = this->acks();
-    for (int i = 0; i < most_tries; i++) {
-      this->link->send_beat(address, b);
+    for (int i = 0; i < max_tries; i++) {
+      this->link->send_heartbeat(address, b);
       absl::SleepFor(absl::Milliseconds(10));
       if (this->acks() > before) return true;
     }
     return false;
   }
 
-  std::unique_ptr<peer_link> link;
+  std::unique_ptr<rpc_peer_link> link;
 
  private:
   void take(event_body e) {
-    if (const auto* b = std::get_if<beat_event>(&e)) {
+    if (const auto* b = std::get_if<heartbeat_event>(&e)) {
       {
         absl::MutexLock lock(&this->mutex);
         this->taken++;
         this->latest = b->content;
       }
-      this->link->reply_beat(b->token, beat_ack{});
-    } else if (std::holds_alternative<beat_ack_event>(e)) {
+      this->link->reply_heartbeat(b->token, heartbeat_ack{});
+    } else if (std::holds_alternative<heartbeat_ack_event>(e)) {
       absl::MutexLock lock(&this->mutex);
       this->answered++;
     }
@@ -66,17 +66,17 @@
   absl::Mutex mutex;
   int taken = 0;
   int answered = 0;
-  beat latest;
+  heartbeat latest;
 };
 
-beat full_beat() {
-  beat b;
+heartbeat full_heartbeat() {
+  heartbeat b;
   b.from = {"a", "hall", address_a, "127.0.0.1:1"};
   b.sequence = 3;
   b.sent = absl::UnixEpoch() + absl::Seconds(5);
   b.probed_at = absl::UnixEpoch() + absl::Seconds(4);
-  b.has_words = true;
-  host_word word;
+  b.has_observations = true;
+  host_observation word;
   word.host = "h";
   word.reachable = true;
   word.at = absl::UnixEpoch() + absl::Seconds(4);
@@ -84,7 +84,7 @@
   word.report.incarnation = 7;
   word.report.phase = host_phase::ready;
   word.report.adapters = {"x", "y"};
-  b.words.push_back(word);
+  b.observations.push_back(word);
   b.loads.push_back({"h", {2, 1}});
   b.open_models = {"m"};
   return b;
@@ -93,24 +93,24 @@
 TEST(peer, a_beat_arrives_as_it_was_sent) {
   answering_node a(address_a);
   answering_node b(address_b);
-  ASSERT_TRUE(a.reach(address_b, full_beat()));
-  EXPECT_EQ(b.last(), full_beat());
+  ASSERT_TRUE(a.reach(address_b, full_heartbeat()));
+  EXPECT_EQ(b.last(), full_heartbeat());
 }
 
 TEST(peer, a_peer_that_closes_and_returns_is_reached_again) {
   answering_node a(address_a);
   for (int i = 0; i < 3; i++) {
     answering_node b(address_b);
-    ASSERT_TRUE(a.reach(address_b, full_beat()));
-    ASSERT_TRUE(b.reach(address_a, full_beat()));
+    ASSERT_TRUE(a.reach(address_b, full_heartbeat()));
+    ASSERT_TRUE(b.reach(address_a, full_heartbeat()));
   }
   // Nobody there: calls fail, and the process lives on.
   for (int i = 0; i < 20; i++) {
-    a.link->send_beat(address_b, full_beat());
+    a.link->send_heartbeat(address_b, full_heartbeat());
     absl::SleepFor(absl::Milliseconds(5));
   }
   answering_node b(address_b);
-  EXPECT_TRUE(a.reach(address_b, full_beat()));
+  EXPECT_TRUE(a.reach(address_b, full_heartbeat()));
 }
 
 }  // namespace
--- a/test/planner-test.cc
+++ b/test/planner-test.cc
@@ -11,9 +11,9 @@
 const absl::Time start = absl::UnixEpoch() + absl::Hours(1);
 
 /// A hall whose hosts obey at once, so that plans can follow plans.
-class obedient_hall {
+class simulated_hall {
  public:
-  obedient_hall(int domains, int per_domain) {
+  simulated_hall(int domains, int per_domain) {
     for (int d = 0; d < domains; d++) {
       for (int i = 0; i < per_domain; i++) {
         host_view host;
@@ -33,12 +33,12 @@
     this->in.now += absl::Milliseconds(200);
     auto result = plan(this->in);
     this->in.current = result.next;
-    this->note_draining();
+    this->update_draining();
     return result;
   }
 
   /// Hosts report what the placement says.
-  void obey() {
+  void apply_placement() {
     for (auto& [name, host] : this->in.hosts) {
       if (host.report) host.report = host_report{};
       host.load_at = this->in.now;
@@ -71,7 +71,7 @@
   plan_input in;
 
  private:
-  void note_draining() {
+  void update_draining() {
     for (const auto& g : this->in.current.groups) {
       if (g.phase == group_phase::draining) {
         this->in.draining_since.try_emplace(g.name, this->in.now);
@@ -94,7 +94,7 @@
 }
 
 TEST(planner, keeps_a_replica_in_one_domain) {
-  obedient_hall hall(2, 3);
+  simulated_hall hall(2, 3);
   const auto config = config_of(2, 3);
   hall.step(config);
   // Three hosts a domain hold one replica of two each; none crosses.
@@ -102,7 +102,7 @@
 }
 
 TEST(planner, crosses_domains_only_where_allowed) {
-  obedient_hall hall(2, 3);
+  simulated_hall hall(2, 3);
   auto config = config_of(2, 3);
   config.models[0].cross_domain = true;
   hall.step(config);
@@ -110,11 +110,11 @@
 }
 
 TEST(planner, without_a_spare_changes_one_group_at_a_time) {
-  obedient_hall hall(1, 6);
+  simulated_hall hall(1, 6);
   const auto before = config_of(2, 3, 1);
   for (int i = 0; i < 4; i++) {
     hall.step(before);
-    hall.obey();
+    hall.apply_placement();
   }
   ASSERT_EQ(hall.serving(), 3);
   const auto after = config_of(2, 3, 1, "2");
@@ -122,7 +122,7 @@
   for (int i = 0; i < 200; i++) {
     hall.step(after);
     least = std::min(least, hall.serving());
-    hall.obey();
+    hall.apply_placement();
   }
   EXPECT_EQ(least, 2);
   EXPECT_EQ(hall.serving(), 3);
@@ -130,53 +130,53 @@
 }
 
 TEST(planner, a_drained_group_is_released_once_all_nodes_know_and_it_is_idle) {
-  obedient_hall hall(1, 2);
+  simulated_hall hall(1, 2);
   for (int i = 0; i < 4; i++) {
     hall.step(config_of(2, 1));
-    hall.obey();
+    hall.apply_placement();
   }
   const auto none = config_of(2, 0);
   hall.step(none);
   ASSERT_EQ(hall.in.current.groups.at(0).phase, group_phase::draining);
-  hall.obey();
+  hall.apply_placement();
   hall.step(none);
   EXPECT_EQ(hall.in.current.groups.size(), 1U);
   const std::string leader = hall.in.current.groups[0].hosts[0];
   hall.in.hosts[leader].load.running = 1;
   hall.in.now += hall.in.drain_settle;
-  hall.obey();
+  hall.apply_placement();
   hall.step(none);
   EXPECT_EQ(hall.in.current.groups.size(), 1U);
   hall.in.hosts[leader].load.running = 0;
-  hall.obey();
+  hall.apply_placement();
   hall.step(none);
   EXPECT_TRUE(hall.in.current.groups.empty());
 }
 
 TEST(planner, surges_where_spare_hosts_exist) {
-  obedient_hall hall(1, 6);
+  simulated_hall hall(1, 6);
   const auto before = config_of(2, 2, 2);
   for (int i = 0; i < 4; i++) {
     hall.step(before);
-    hall.obey();
+    hall.apply_placement();
   }
   const auto after = config_of(2, 2, 2, "2");
   int least = 2;
   for (int i = 0; i < 200; i++) {
     hall.step(after);
     least = std::min(least, hall.serving());
-    hall.obey();
+    hall.apply_placement();
   }
   EXPECT_EQ(least, 2);
   for (const auto& g : hall.in.current.groups) EXPECT_EQ(g.version, "2");
 }
 
 TEST(planner, dissolves_a_group_that_cannot_be_completed) {
-  obedient_hall hall(2, 2);
+  simulated_hall hall(2, 2);
   const auto config = config_of(2, 2);
   for (int i = 0; i < 4; i++) {
     hall.step(config);
-    hall.obey();
+    hall.apply_placement();
   }
   hall.lose("d0h0");
   hall.step(config);
@@ -184,7 +184,7 @@
 }
 
 TEST(planner, gives_the_hosts_to_what_matters_more) {
-  obedient_hall hall(1, 2);
+  simulated_hall hall(1, 2);
   auto config = config_of(2, 1);
   model_config other = config.models[0];
   other.name = "important";
@@ -196,7 +196,7 @@
 }
 
 TEST(planner, an_unfenced_host_is_given_away_only_after_its_time) {
-  obedient_hall hall(1, 2);
+  simulated_hall hall(1, 2);
   hall.in.hosts["d0h1"].reassign_after = start + absl::Seconds(5);
   const auto config = config_of(2, 1);
   hall.step(config);
@@ -224,7 +224,7 @@
 RC_GTEST_PROP(planner_property, never_shares_a_host_and_settles, ()) {
   const int domains = *rc::gen::inRange(1, 4);
   const int per_domain = *rc::gen::inRange(1, 7);
-  obedient_hall hall(domains, per_domain);
+  simulated_hall hall(domains, per_domain);
   auto config = config_of(*rc::gen::inRange(1, 4), *rc::gen::inRange(0, 5),
                           *rc::gen::inRange(0, 2));
   for (int round = 0; round < 30; round++) {
@@ -247,12 +247,12 @@
       RC_ASSERT(std::set<std::string>(g.hosts.begin(), g.hosts.end()).size() ==
                 g.hosts.size());
     }
-    hall.obey();
+    hall.apply_placement();
   }
   // Left alone, planning comes to rest.
   for (int i = 0; i < 300; i++) {
     hall.step(config);
-    hall.obey();
+    hall.apply_placement();
   }
   RC_ASSERT(hall.step(config).changes.empty());
 }
--- a/test/presence-test.cc
+++ b/test/presence-test.cc
@@ -64,7 +64,7 @@
 TEST(presence, a_withdrawn_word_no_longer_counts) {
   presence_table table;
   table.observe("p", "h", seen(start));
-  table.withdraw("p", "h");
+  table.remove_observation("p", "h");
   table.refresh("p", at_ms(100));
   EXPECT_FALSE(table.present("h", at_ms(100), window));
 }
--- a/test/reducer-test.cc
+++ b/test/reducer-test.cc
@@ -106,25 +106,25 @@
 
   /// The prober b's process with this boot has taken a beat of ours.
   void acknowledge(uint64_t boot) {
-    beat_ack ack;
+    heartbeat_ack ack;
     ack.from = {"b", "hall", "peer-b", "http-b"};
     ack.boot = boot;
     ack.taken = this->now;
-    this->give(beat_ack_event{ack, this->now});
+    this->give(heartbeat_ack_event{ack, this->now});
   }
 
   void say(uint64_t boot, int64_t sequence, int64_t epoch, bool with_words,
            bool reachable) {
-    beat b;
+    heartbeat b;
     b.from = {"b", "hall", "peer-b", "http-b"};
     b.boot = boot;
     b.sequence = sequence;
     b.sent = this->now;
     b.probed_at = this->now;
-    b.words_epoch = epoch;
-    b.has_words = with_words;
-    if (with_words) b.words.push_back({"h", reachable, this->now, {}});
-    this->give(beat_event{0, b});
+    b.observations_epoch = epoch;
+    b.has_observations = with_words;
+    if (with_words) b.observations.push_back({"h", reachable, this->now, {}});
+    this->give(heartbeat_event{0, b});
   }
 
   bool present() {
--- a/test/relay-choice-test.cc
+++ b/test/relay-choice-test.cc
@@ -49,20 +49,20 @@
   for (const auto& name : hall) {
     relay_view view = view_of(name);
     view.holder = order()[4];
-    view.holder_near = true;
+    view.holder_in_hall = true;
     EXPECT_EQ(choose_relay(view).upstream, order()[4]);
   }
 }
 
 TEST(relay_choice, relays_that_failed_are_passed_over_in_order) {
   relay_view view = view_of(order()[5]);
-  view.passed_over = {order()[0]};
+  view.excluded = {order()[0]};
   EXPECT_EQ(choose_relay(view).upstream, order()[1]);
-  view.passed_over.insert(order()[1]);
+  view.excluded.insert(order()[1]);
   EXPECT_EQ(choose_relay(view).upstream, order()[2]);
   for (size_t next = 2; next < 5; ++next) {
     EXPECT_EQ(choose_relay(view).upstream, order()[next]);
-    view.passed_over.insert(order()[next]);
+    view.excluded.insert(order()[next]);
   }
   EXPECT_EQ(choose_relay(view).upstream, view.self.name);
   view.holder = "b1";
@@ -72,9 +72,9 @@
 TEST(relay_choice, only_the_first_of_a_hall_are_relied_on) {
   size_t candidates = 0;
   for (const auto& name : hall) {
-    candidates += choose_relay(view_of(name)).candidate ? 1 : 0;
+    candidates += choose_relay(view_of(name)).top_ranked ? 1 : 0;
   }
-  EXPECT_EQ(candidates, most_relays);
+  EXPECT_EQ(candidates, top_ranked_per_hall);
 }
 
 TEST(relay_choice, nodes_that_agree_never_ask_in_a_circle) {
@@ -84,7 +84,7 @@
       std::map<std::string, std::string> asks;
       for (const auto& name : hall) {
         relay_view view = view_of(name);
-        view.passed_over = {x, y};
+        view.excluded = {x, y};
         asks[name] = choose_relay(view).upstream;
       }
       for (const auto& name : hall) {
@@ -114,13 +114,13 @@
 /// Whom each node asks when all have passed over the same nodes.
 std::map<std::string, std::string> asked_by_all(
     const std::vector<relay_candidate>& nodes, const std::string& holder,
-    const std::set<std::string>& passed_over) {
+    const std::set<std::string>& excluded) {
   std::map<std::string, std::string> out;
   for (const auto& self : nodes) {
     relay_view view;
     view.self = self;
     view.holder = holder;
-    view.passed_over = passed_over;
+    view.excluded = excluded;
     for (const auto& peer : nodes) {
       if (!(peer == self)) view.hall_peers.push_back(peer);
     }
@@ -165,7 +165,8 @@
   std::map<std::string, float> cores;
   for (const auto& node : nodes) cores[node.name] = node.cores;
   const auto first = relay_order(nodes);
-  for (size_t i = 0; i < most_relays; ++i) EXPECT_EQ(cores[first[i]], 0.5F);
+  for (size_t i = 0; i < top_ranked_per_hall; ++i)
+    EXPECT_EQ(cores[first[i]], 0.5F);
 }
 
 RC_GTEST_PROP(relay_choice, one_node_of_a_hall_watches_whatever_has_failed,
--- a/test/news-fleet.h
+++ b/test/relay-fleet.h
@@ -13,17 +13,17 @@
 #include <utility>
 #include <vector>
 
-#include "server-news.h"
+#include "server-changes.h"
 #include "spokesail/change-relay.h"
 #include "spokesail/hash.h"
 
 namespace spokesail::test {
 
 /// How often a node asks its relay.
-constexpr absl::Duration ask_period = absl::Milliseconds(180);
+constexpr absl::Duration request_period = absl::Milliseconds(180);
 
 /// A tree of nodes whose first, node 0, learns of each change by itself.
-class news_fleet {
+class relay_fleet {
  public:
   /// A message from one node to another.
   struct message {
@@ -32,8 +32,8 @@
     /// Whether a question; else changes, in answer to one or unasked.
     bool question = false;
     bool asked = false;
-    change_question what;
-    news_part part;
+    follower_position what;
+    server_change_batch part;
   };
 
   /// What a link does to a message: how long it takes, or that it is lost.
@@ -41,13 +41,13 @@
   static constexpr absl::Duration lost = absl::InfiniteDuration();
 
   /// `parents` gives whom each node but the first asks.
-  news_fleet(std::vector<int> parents, link way)
+  relay_fleet(std::vector<int> parents, link way)
       : nodes(parents.size() + 1), way(std::move(way)) {
     for (size_t i = 0; i < parents.size(); ++i) {
       node& n = this->nodes[i + 1];
       n.parent = parents[i];
       // Nodes that start together still ask at different times.
-      const auto offset = ask_period * static_cast<double>(i % 7) / 7;
+      const auto offset = request_period * static_cast<double>(i % 7) / 7;
       this->at(this->now + offset, [this, i] { this->ask_again(i + 1); });
     }
   }
@@ -61,7 +61,7 @@
     server.revision = revision;
     node& first = this->nodes.front();
     first.directory.update(server);
-    first.directory.caught_up(revision);
+    first.directory.advance_revision(revision);
     this->made.push_back(this->now);
     this->push(0);
   }
@@ -141,7 +141,7 @@
 
  private:
   static constexpr int server_count = 40;
-  static constexpr size_t most_changes = 200;
+  static constexpr size_t max_changes_per_message = 200;
 
   struct node {
     int parent = -1;
@@ -165,7 +165,7 @@
 
   void ask_again(size_t i) {
     this->ask(static_cast<int>(i));
-    this->at(this->now + ask_period, [this, i] { this->ask_again(i); });
+    this->at(this->now + request_period, [this, i] { this->ask_again(i); });
   }
 
   void ask(int i) {
@@ -182,7 +182,7 @@
     node& n = this->nodes[static_cast<size_t>(m.to)];
     if (m.question) {
       const int64_t from =
-          n.sender.on_question(absl::StrCat(m.from), m.what, this->now);
+          n.sender.on_request(absl::StrCat(m.from), m.what, this->now);
       this->tell(m.to, m.from, from, true);
       return;
     }
@@ -192,11 +192,12 @@
   void take_changes(node& n, const message& m) {
     const int64_t known = n.directory.revision();
     if (!n.receiver.on_message(m.part.from_revision, known)) {
-      if (n.receiver.ask_at_once(known, this->now)) this->ask(m.to);
+      if (n.receiver.request_out_of_turn(known, this->now)) this->ask(m.to);
       return;
     }
-    const bool changed = apply_news(n.directory, m.part.servers, this->now);
-    n.directory.caught_up(m.part.to_revision);
+    const bool changed =
+        apply_server_changes(n.directory, m.part.servers, this->now);
+    n.directory.advance_revision(m.part.to_revision);
     for (int64_t r = known + 1; r <= n.directory.revision(); ++r) {
       const absl::Time made_at = this->made[static_cast<size_t>(r - 1)];
       n.longest_lag = std::max(n.longest_lag, this->now - made_at);
@@ -207,8 +208,8 @@
 
   void push(int i) {
     node& n = this->nodes[static_cast<size_t>(i)];
-    const change_sender::state known = {n.directory.revision(), 0};
-    for (const auto& next : n.sender.due(known, this->now)) {
+    const change_sender::known_revisions known = {n.directory.revision(), 0};
+    for (const auto& next : n.sender.pending_updates(known, this->now)) {
       this->tell(i, std::stoi(next.follower), next.from, false);
     }
   }
@@ -216,10 +217,10 @@
   void tell(int i, int to, int64_t from, bool asked) {
     node& n = this->nodes[static_cast<size_t>(i)];
     const int64_t until = n.directory.revision();
-    auto changes = news_since(n.directory, from, this->now);
-    for (auto& part :
-         split_news(std::move(changes), most_changes, from, until)) {
-      n.sender.on_told(absl::StrCat(to), part.from_revision, part.to_revision,
+    auto changes = server_changes_since(n.directory, from, this->now);
+    for (auto& part : split_server_changes(
+             std::move(changes), max_changes_per_message, from, until)) {
+      n.sender.on_sent(absl::StrCat(to), part.from_revision, part.to_revision,
                        0, this->now);
       this->send({i, to, false, asked, {}, std::move(part)});
     }
--- a/test/repeat-budget-test.cc
+++ b/test/repeat-budget-test.cc
@@ -1,12 +1,11 @@
 // The budget of repeats, at one node and summed over a fleet.
-#include "spokesail/repeat-budget.h"
-
 #include <gtest/gtest.h>
 
 #include <optional>
 #include <string>
 
 #include "spokesail/fleet-size.h"
+#include "spokesail/retry-budget.h"
 
 namespace spokesail {
 namespace {
@@ -16,28 +15,28 @@
 const absl::Time long_ago = absl::UnixEpoch();
 
 /// Reserves a repeat and sends it.
-bool take(repeat_budget& budget, const std::string& service,
+bool take(retry_budget& budget, const std::string& service,
           std::optional<int> nodes, absl::Time now) {
   auto repeat = budget.reserve(service, nodes, now);
   if (repeat) repeat->spend(now);
   return repeat.has_value();
 }
 
-TEST(repeat_budget, all_nodes_together_keep_the_limit) {
-  const repeat_limits limits{0.2, absl::Seconds(10), 90};
+TEST(retry_budget, all_nodes_together_keep_the_limit) {
+  const retry_limits limits{0.2, absl::Seconds(10), 90};
   constexpr int nodes = 9;
-  int repeats = 0;
+  int retries = 0;
   for (int n = 0; n < nodes; ++n) {
-    repeat_budget budget(limits, long_ago);
+    retry_budget budget(limits, long_ago);
     for (int i = 0; i < 100; ++i) budget.count_request("lm", start);
-    for (int i = 0; i < 1000; ++i) repeats += take(budget, "lm", nodes, start);
+    for (int i = 0; i < 1000; ++i) retries += take(budget, "lm", nodes, start);
   }
-  EXPECT_LE(repeats, 0.2 * nodes * 100 + 90);
-  EXPECT_GT(repeats, 0.6 * (0.2 * nodes * 100 + 90));
+  EXPECT_LE(retries, 0.2 * nodes * 100 + 90);
+  EXPECT_GT(retries, 0.6 * (0.2 * nodes * 100 + 90));
 }
 
-TEST(repeat_budget, comes_back_with_time_and_is_kept_by_service) {
-  repeat_budget budget({0.2, absl::Seconds(10), 2}, long_ago);
+TEST(retry_budget, comes_back_with_time_and_is_kept_by_service) {
+  retry_budget budget({0.2, absl::Seconds(10), 2}, long_ago);
   EXPECT_TRUE(take(budget, "lm", 1, start));
   EXPECT_FALSE(take(budget, "lm", 1, start));
   EXPECT_TRUE(take(budget, "other", 1, start));
@@ -45,8 +44,8 @@
 }
 
 // Guards against streams that pass the budget together and are sent later.
-TEST(repeat_budget, a_reservation_counts_until_it_is_given_back) {
-  repeat_budget budget({0, absl::Seconds(10), 2}, long_ago);
+TEST(retry_budget, a_reservation_counts_until_it_is_given_back) {
+  retry_budget budget({0, absl::Seconds(10), 2}, long_ago);
   {
     const auto held = budget.reserve("lm", 1, start);
     ASSERT_TRUE(held);
@@ -56,55 +55,55 @@
   EXPECT_TRUE(budget.reserve("lm", 1, start));
 }
 
-TEST(repeat_budget, a_repeat_counts_from_its_sending) {
-  repeat_budget budget({0, absl::Seconds(10), 2}, long_ago);
+TEST(retry_budget, a_repeat_counts_from_its_sending) {
+  retry_budget budget({0, absl::Seconds(10), 2}, long_ago);
   auto repeat = budget.reserve("lm", 1, start);
   ASSERT_TRUE(repeat);
   repeat->spend(start + absl::Seconds(2));
-  EXPECT_EQ(budget.account("lm", 1, start + absl::Seconds(11)).repeats, 1);
+  EXPECT_EQ(budget.account("lm", 1, start + absl::Seconds(11)).retries, 1);
   EXPECT_FALSE(budget.reserve("lm", 1, start + absl::Seconds(11)));
   EXPECT_TRUE(budget.reserve("lm", 1, start + absl::Seconds(13)));
 }
 
 // Guards against a process that spends again what the one before it spent.
-TEST(repeat_budget, a_process_that_starts_leaves_room_for_what_was_spent) {
-  const repeat_limits limits{0.2, absl::Seconds(10), 100};
+TEST(retry_budget, a_process_that_starts_leaves_room_for_what_was_spent) {
+  const retry_limits limits{0.2, absl::Seconds(10), 100};
   constexpr int requests = 1000;
-  int repeats = 0;
+  int retries = 0;
   for (const absl::Time started : {long_ago, start}) {
-    repeat_budget budget(limits, started);
+    retry_budget budget(limits, started);
     for (int i = 0; i < requests; ++i) budget.count_request("lm", start);
-    for (int i = 0; i < requests; ++i) repeats += take(budget, "lm", 1, start);
+    for (int i = 0; i < requests; ++i) retries += take(budget, "lm", 1, start);
   }
-  EXPECT_LE(repeats, limits.ratio * requests + limits.slack);
-  EXPECT_GT(repeats, 0.9 * (limits.ratio * requests + limits.slack));
+  EXPECT_LE(retries, limits.ratio * requests + limits.slack);
+  EXPECT_GT(retries, 0.9 * (limits.ratio * requests + limits.slack));
 }
 
-TEST(repeat_budget, a_process_has_its_whole_part_after_a_window) {
-  const repeat_limits limits{0, absl::Seconds(10), 2};
-  repeat_budget budget(limits, start);
+TEST(retry_budget, a_process_has_its_whole_part_after_a_window) {
+  const retry_limits limits{0, absl::Seconds(10), 2};
+  retry_budget budget(limits, start);
   EXPECT_FALSE(take(budget, "lm", 1, start + absl::Seconds(9)));
   EXPECT_TRUE(take(budget, "lm", 1, start + absl::Seconds(10)));
 }
 
 // Guards against a slack that is divided by too few nodes beside a cut.
-TEST(repeat_budget, spends_no_slack_among_nobody_knows_how_many) {
-  const repeat_limits limits{0.2, absl::Seconds(10), 100};
-  repeat_budget budget(limits, long_ago);
+TEST(retry_budget, spends_no_slack_among_nobody_knows_how_many) {
+  const retry_limits limits{0.2, absl::Seconds(10), 100};
+  retry_budget budget(limits, long_ago);
   EXPECT_FALSE(take(budget, "lm", std::nullopt, start));
   for (int i = 0; i < 10; ++i) budget.count_request("lm", start);
   EXPECT_TRUE(take(budget, "lm", std::nullopt, start));
   EXPECT_FALSE(take(budget, "lm", std::nullopt, start));
 }
 
-TEST(fleet_size, is_not_known_before_the_first_count) {
-  fleet_size fleet;
+TEST(peak_fleet_size, is_not_known_before_the_first_count) {
+  peak_fleet_size fleet;
   EXPECT_EQ(fleet.most(start), std::nullopt);
 }
 
 // Guards against a slack that is divided by too few nodes beside a cut.
-TEST(fleet_size, does_not_fall_while_nodes_may_be_cut_off) {
-  fleet_size fleet;
+TEST(peak_fleet_size, does_not_fall_while_nodes_may_be_cut_off) {
+  peak_fleet_size fleet;
   fleet.note(89, start);
   for (int s = 1; s <= 3600; ++s) fleet.note(30, start + absl::Seconds(s));
   EXPECT_EQ(fleet.most(start + absl::Hours(1)), 89);
@@ -112,8 +111,8 @@
   EXPECT_EQ(fleet.most(start + absl::Hours(1)), 120);
 }
 
-TEST(fleet_size, falls_to_what_lived_within_its_memory) {
-  fleet_size fleet;
+TEST(peak_fleet_size, falls_to_what_lived_within_its_memory) {
+  peak_fleet_size fleet;
   fleet.note(89, start);
   fleet.note(60, start + absl::Hours(1));
   fleet.note(30, start + absl::Hours(2));
--- a/test/repeat-fleet-test.cc
+++ b/test/repeat-fleet-test.cc
@@ -12,7 +12,7 @@
 
 #include "spokesail/fleet-size.h"
 #include "spokesail/hash.h"
-#include "spokesail/repeat-budget.h"
+#include "spokesail/retry-budget.h"
 
 namespace spokesail {
 namespace {
@@ -51,7 +51,7 @@
 /// Nodes that would repeat each request several times.
 class budget_fleet {
  public:
-  budget_fleet(int nodes, repeat_limits limits, trouble t, mutant m,
+  budget_fleet(int nodes, retry_limits limits, trouble t, mutant m,
                uint64_t seed)
       : limits(limits), faults(t), left_out(m), random{std::mt19937_64(seed)} {
     for (int i = 0; i < nodes; ++i) this->nodes.emplace_back(limits, long_ago);
@@ -68,29 +68,29 @@
   /// one that begins half a window before.
   double excess() const {
     double worst = -this->limits.slack;
-    for (const absl::Time from : this->repeats) {
+    for (const absl::Time from : this->retries) {
       double most = 0;
       for (const double shift : {0.0, 0.5, 1.0}) {
         const absl::Time at = from - shift * this->limits.window;
         most = std::max(most, this->within(this->requests, at));
       }
       const double allowed = this->limits.ratio * most + this->limits.slack;
-      worst = std::max(worst, this->within(this->repeats, from) - allowed);
+      worst = std::max(worst, this->within(this->retries, from) - allowed);
     }
     return worst;
   }
 
-  size_t sent() const { return this->repeats.size(); }
+  size_t sent() const { return this->retries.size(); }
 
  private:
   struct node {
-    node(repeat_limits limits, absl::Time started)
+    node(retry_limits limits, absl::Time started)
         : budget(limits, started), started(started) {}
-    repeat_budget budget;
-    fleet_size fleet;
+    retry_budget budget;
+    peak_fleet_size fleet;
     absl::Time started;
     bool alone = false;
-    std::vector<repeat_reservation> reserved;
+    std::vector<retry_reservation> reserved;
     /// Repeats that wait without a reservation.
     int unreserved = 0;
   };
@@ -166,9 +166,9 @@
     }
   }
 
-  void send(repeat_reservation& reserved) {
+  void send(retry_reservation& reserved) {
     reserved.spend(this->now);
-    this->repeats.push_back(this->now);
+    this->retries.push_back(this->now);
   }
 
   void send_waiting(node& n) {
@@ -180,22 +180,22 @@
     for (; n.unreserved > 0; --n.unreserved) {
       auto counted = n.budget.reserve(service, this->sharing(n), this->now);
       if (counted) counted->spend(this->now);
-      this->repeats.push_back(this->now);
+      this->retries.push_back(this->now);
     }
   }
 
-  repeat_limits limits;
+  retry_limits limits;
   trouble faults;
   mutant left_out;
   random_stream random;
   absl::Time now = start;
   std::deque<node> nodes;
   std::vector<absl::Time> requests;
-  std::vector<absl::Time> repeats;
+  std::vector<absl::Time> retries;
 };
 
 /// Slack in proportion to the nodes, as operators give it.
-repeat_limits limits_of(int nodes) {
+retry_limits limits_of(int nodes) {
   return {0.2, absl::Seconds(10), 4.0 * nodes};
 }
 
--- a/test/repeat-limit-test.cc
+++ b/test/repeat-limit-test.cc
@@ -7,17 +7,17 @@
 namespace {
 
 /// Runs past the first of their request, in the worst window.
-int most_repeats(const std::vector<standin::server_run>& runs,
-                 absl::Duration window) {
+int max_retries(const std::vector<standin::server_run>& runs,
+                absl::Duration window) {
   std::set<std::string> seen;
-  std::vector<absl::Time> repeats;
+  std::vector<absl::Time> retries;
   for (const auto& run : runs) {
-    if (!seen.insert(run.id).second) repeats.push_back(run.at);
+    if (!seen.insert(run.id).second) retries.push_back(run.at);
   }
   size_t most = 0;
   size_t first = 0;
-  for (size_t i = 0; i < repeats.size(); ++i) {
-    while (repeats[i] - repeats[first] > window) ++first;
+  for (size_t i = 0; i < retries.size(); ++i) {
+    while (retries[i] - retries[first] > window) ++first;
     most = std::max(most, i - first + 1);
   }
   return static_cast<int>(most);
@@ -26,32 +26,32 @@
 class repeat_limit_test : public node_test {
  protected:
   explicit repeat_limit_test(int hosts = 6) : node_test(hosts) {
-    this->nodes_are_old = false;
+    this->nodes_long_running = false;
   }
 
   /// Lets the nodes run for as long as the budget looks back.
   void wait_for_window() {
     std::this_thread::sleep_for(
-        absl::ToChronoMilliseconds(1.1 * this->repeats.window));
+        absl::ToChronoMilliseconds(1.1 * this->retries.window));
   }
 
   /// Sends calls to a node that fail at each server.
   void send_failing(int node, int calls) {
     for (int i = 0; i < calls; ++i) {
       const auto id = absl::StrCat("node-", node, "-call-", i);
-      this->ask(request(id, "/look/minutes"), node);
+      this->send_request(request(id, "/look/minutes"), node);
       ++this->requests;
     }
   }
 
   int most_repeats_seen() {
     return this->on_loop([this] {
-      return most_repeats(this->fleet->record.all_runs, this->repeats.window);
+      return max_retries(this->fleet->record.all_runs, this->retries.window);
     });
   }
 
   double allowed() const {
-    return this->repeats.ratio * this->requests + this->repeats.slack;
+    return this->retries.ratio * this->requests + this->retries.slack;
   }
 
   int requests = 0;
@@ -59,7 +59,7 @@
 
 // Guards against a budget that each process begins in full and alone.
 TEST_F(repeat_limit_test, processes_that_start_add_nothing_to_the_budget) {
-  this->repeats = {0.1, absl::Seconds(4), 20};
+  this->retries = {0.1, absl::Seconds(4), 20};
   this->start(2);
   this->wait_for_window();
   this->on_loop([this] { return this->fleet->faults.fail_plain_calls = 1000; });
@@ -82,7 +82,7 @@
 TEST_F(repeat_limit_test, a_node_that_hears_nobody_spends_no_others_part) {
   constexpr int others = 3;
   constexpr int calls = 30;
-  this->repeats = {0.1, absl::Seconds(4), 20};
+  this->retries = {0.1, absl::Seconds(4), 20};
   for (int i = 0; i < others; ++i) {
     this->fleet->enroll_node(
         absl::StrCat("unheard-", i),
@@ -92,14 +92,14 @@
   this->wait_for_window();
   this->on_loop([this] { return this->fleet->faults.fail_plain_calls = 1000; });
   this->send_failing(0, calls);
-  const double part = this->repeats.slack / (1 + others);
-  EXPECT_LE(this->most_repeats_seen(), this->repeats.ratio * calls + part);
+  const double part = this->retries.slack / (1 + others);
+  EXPECT_LE(this->most_repeats_seen(), this->retries.ratio * calls + part);
   EXPECT_GT(this->most_repeats_seen(), 0);
 }
 
 // Guards against repeats that are used up by servers that cannot be reached.
 TEST_F(repeat_limit_test, servers_that_are_not_reached_cost_no_repeats) {
-  this->repeats = {0, absl::Seconds(1), 100};
+  this->retries = {0, absl::Seconds(1), 100};
   this->keys_fail_closed = false;
   this->start(1);
   // The node is not to learn of the server's end, by a watch that waits either.
@@ -118,15 +118,16 @@
     return 0;
   });
   ASSERT_FALSE(lost.empty());
-  const auto met = [&] { return state.suspects.count(lost) != 0; };
+  const auto met = [&] { return state.suspected_servers.count(lost) != 0; };
   for (int i = 0; i < 50 && !this->on_loop(met); ++i) {
     const auto id = absl::StrCat("call-", i);
-    EXPECT_EQ(this->ask(request(id, "/look/minutes")).result_int(), 200U);
+    EXPECT_EQ(this->send_request(request(id, "/look/minutes")).result_int(),
+              200U);
   }
   ASSERT_TRUE(this->on_loop(met));
   const auto account = this->on_loop(
-      [&] { return state.repeats.account(service, 1, state.now()); });
-  EXPECT_EQ(account.repeats, 0);
+      [&] { return state.retries.account(service, 1, state.now()); });
+  EXPECT_EQ(account.retries, 0);
   EXPECT_EQ(account.reserved, 0);
 }
 
@@ -139,7 +140,7 @@
 // Guards against streams that pass the budget together and are sent later.
 TEST_F(one_group_limit_test, streams_of_a_lost_group_keep_the_budget) {
   constexpr int streams = 8;
-  this->repeats = {0, absl::Seconds(3), 2};
+  this->retries = {0, absl::Seconds(3), 2};
   this->start(1, 1);
   this->wait_for_window();
   const std::string member = this->serving_member();
@@ -163,7 +164,7 @@
     boost::system::error_code ignored;
     http::read(socket, buffer, in, ignored);
   }
-  EXPECT_LE(this->most_repeats_seen(), this->repeats.slack);
+  EXPECT_LE(this->most_repeats_seen(), this->retries.slack);
   EXPECT_GT(this->most_repeats_seen(), 0);
 }
 
--- a/test/request-admission-test.cc
+++ b/test/request-admission-test.cc
@@ -20,12 +20,12 @@
 engine_profile test_engine() {
   engine_profile out;
   out.slots = 34;
-  out.stride = 5;
+  out.decode_steps_per_pass = 5;
   out.step_ms = 6;
   out.step_ms_per_request = 0.05;
-  out.read_tokens_per_ms = 46;
-  out.usual_prompt = 714;
-  out.usual_answer = 115;
+  out.prefill_tokens_per_ms = 46;
+  out.mean_prompt_tokens = 714;
+  out.mean_answer_tokens = 115;
   out.models = {{"small", 4, 1, 1, absl::Seconds(12), absl::Seconds(1)}};
   return out;
 }
@@ -59,15 +59,15 @@
     return out;
   }
 
-  admission_answer decide(const admission_request& request) {
+  admission_decision decide(const admission_request& request) {
     const admission_view view = {this->engine,  this->engine.models[0],
                                  this->options, this->options.size(),
                                  this->nodes,   100 * ms};
     return this->admission.decide(request, view, this->now, this->random);
   }
 
-  admission_answer enter_and_decide(const admission_request& request) {
-    EXPECT_TRUE(this->admission.enter(request, this->now));
+  admission_decision enter_and_decide(const admission_request& request) {
+    EXPECT_TRUE(this->admission.enqueue(request, this->now));
     return this->decide(request);
   }
 
@@ -85,7 +85,7 @@
     while (this->now < until) {
       const admission_request request = this->ask();
       this->enter_and_decide(request);
-      this->admission.leave(request);
+      this->admission.dequeue(request);
       this->now += absl::Seconds(1 / per_s);
     }
   }
@@ -115,9 +115,9 @@
 TEST(request_admission, sends_what_can_be_in_time_to_where_it_can) {
   node_before_groups node;
   node.fill(4, 20, 20000);
-  node.options[2].unread_tokens = 0;
+  node.options[2].pending_prefill_tokens = 0;
   const auto answer = node.enter_and_decide(node.ask());
-  EXPECT_EQ(answer.verdict, admission_verdict::send);
+  EXPECT_EQ(answer.action, admission_action::send);
   EXPECT_EQ(answer.option, 2U);
   EXPECT_FALSE(answer.late);
 }
@@ -131,16 +131,16 @@
   }
   const auto answer = node.enter_and_decide(node.ask());
   EXPECT_EQ(answer.error_ms, 120);
-  EXPECT_EQ(answer.room, 0);
+  EXPECT_EQ(answer.timely_slots, 0);
 }
 
 TEST(request_admission, counts_what_has_passed) {
   node_before_groups node;
   node.fill(1, 10, 6000);
   const auto request = node.ask();
-  EXPECT_TRUE(node.admission.enter(request, node.now));
+  EXPECT_TRUE(node.admission.enqueue(request, node.now));
   node.now += 100 * ms;
-  EXPECT_EQ(node.decide(request).room, 0);
+  EXPECT_EQ(node.decide(request).timely_slots, 0);
 }
 
 TEST(request_admission, waits_only_where_a_place_will_be_free_in_time) {
@@ -148,11 +148,11 @@
   node.fill(1, 34);
   const auto patient = node.ask("w", 3, 500 * ms);
   const auto soon = node.enter_and_decide(patient);
-  EXPECT_EQ(soon.verdict, admission_verdict::wait);
+  EXPECT_EQ(soon.action, admission_action::wait);
   EXPECT_GT(soon.expected_wait, absl::ZeroDuration());
   const auto hurried = node.ask("w", 3, 60 * ms);
   const auto never = node.enter_and_decide(hurried);
-  EXPECT_EQ(never.verdict, admission_verdict::refuse);
+  EXPECT_EQ(never.action, admission_action::refuse);
   EXPECT_STREQ(never.reason, "no group has room");
 }
 
@@ -160,10 +160,10 @@
   node_before_groups node;
   node.fill(1, 34);
   const auto request = node.ask("w", 3, 300 * ms);
-  EXPECT_EQ(node.enter_and_decide(request).verdict, admission_verdict::wait);
+  EXPECT_EQ(node.enter_and_decide(request).action, admission_action::wait);
   node.options[0].running = 70;
   node.now += 5 * ms;
-  EXPECT_EQ(node.decide(request).verdict, admission_verdict::refuse);
+  EXPECT_EQ(node.decide(request).action, admission_action::refuse);
   EXPECT_EQ(node.admission.waiting("lm/small"), 0U);
 }
 
@@ -171,9 +171,9 @@
   node_before_groups node;
   node.fill(1, 34);
   const auto request = node.ask("w", 3, absl::Seconds(2));
-  EXPECT_EQ(node.enter_and_decide(request).verdict, admission_verdict::wait);
+  EXPECT_EQ(node.enter_and_decide(request).action, admission_action::wait);
   node.now += admission_limits{}.wait;
-  EXPECT_EQ(node.decide(request).verdict, admission_verdict::refuse);
+  EXPECT_EQ(node.decide(request).action, admission_action::refuse);
 }
 
 TEST(request_admission, callers_that_leave_are_out_at_once) {
@@ -181,12 +181,12 @@
   node.fill(1, 34);
   const auto leaves = node.ask("w", 0, 500 * ms);
   const auto stays = node.ask("w", 3, 500 * ms);
-  EXPECT_EQ(node.enter_and_decide(leaves).verdict, admission_verdict::wait);
-  EXPECT_EQ(node.enter_and_decide(stays).verdict, admission_verdict::wait);
-  node.admission.leave(leaves);
+  EXPECT_EQ(node.enter_and_decide(leaves).action, admission_action::wait);
+  EXPECT_EQ(node.enter_and_decide(stays).action, admission_action::wait);
+  node.admission.dequeue(leaves);
   EXPECT_EQ(node.admission.waiting_bytes(), 1000U);
   node.options[0].running = 10;
-  EXPECT_EQ(node.decide(stays).verdict, admission_verdict::send);
+  EXPECT_EQ(node.decide(stays).action, admission_action::send);
   EXPECT_EQ(node.admission.waiting_bytes(), 0U);
 }
 
@@ -198,9 +198,9 @@
   node.enter_and_decide(usual);
   node.enter_and_decide(urgent);
   node.options[0].running = 10;
-  EXPECT_EQ(node.decide(usual).verdict, admission_verdict::wait);
-  EXPECT_EQ(node.decide(urgent).verdict, admission_verdict::send);
-  EXPECT_EQ(node.decide(usual).verdict, admission_verdict::send);
+  EXPECT_EQ(node.decide(usual).action, admission_action::wait);
+  EXPECT_EQ(node.decide(urgent).action, admission_action::send);
+  EXPECT_EQ(node.decide(usual).action, admission_action::send);
 }
 
 TEST(request_admission, refuses_what_would_make_others_late_in_a_burst) {
@@ -209,7 +209,7 @@
   node.arrivals(80, absl::Seconds(4));
   node.fill(1, 20, 12000);
   const auto answer = node.enter_and_decide(node.ask());
-  EXPECT_EQ(answer.verdict, admission_verdict::refuse);
+  EXPECT_EQ(answer.action, admission_action::refuse);
   EXPECT_STREQ(answer.reason, "would be late");
 }
 
@@ -217,7 +217,7 @@
   node_before_groups node;
   node.fill(1, 20, 12000);
   const auto answer = node.enter_and_decide(node.ask());
-  EXPECT_EQ(answer.verdict, admission_verdict::send);
+  EXPECT_EQ(answer.action, admission_action::send);
   EXPECT_TRUE(answer.late);
 }
 
@@ -228,7 +228,7 @@
   auto request = node.ask();
   request.due = node.now + 20 * ms;
   const auto answer = node.enter_and_decide(request);
-  EXPECT_EQ(answer.verdict, admission_verdict::send);
+  EXPECT_EQ(answer.action, admission_action::send);
   EXPECT_TRUE(answer.late);
 }
 
@@ -240,7 +240,7 @@
   for (int i = 0; i < 8; ++i) {
     const auto answer =
         node.enter_and_decide(node.ask(absl::StrCat("w", i), 3, 60 * ms));
-    ASSERT_EQ(answer.verdict, admission_verdict::refuse);
+    ASSERT_EQ(answer.action, admission_action::refuse);
     EXPECT_LE(answer.retry_after, absl::Seconds(2));
     told.push_back(answer.retry_after);
   }
@@ -256,7 +256,7 @@
   for (int i = 0; i < 60; ++i) {
     const auto answer =
         node.enter_and_decide(node.ask(absl::StrCat("w", i), 3, 60 * ms));
-    ASSERT_EQ(answer.verdict, admission_verdict::refuse);
+    ASSERT_EQ(answer.action, admission_action::refuse);
     EXPECT_GT(answer.retry_after, absl::ZeroDuration());
     EXPECT_LE(answer.retry_after, absl::Seconds(2));
     told.insert(answer.retry_after);
@@ -265,7 +265,7 @@
 }
 
 TEST(request_admission, one_workspace_with_half_of_the_traffic_gets_its_share) {
-  fair_queue queue(queue_order{true, 5});
+  fair_queue queue(queue_policy{true, 5});
   std::map<std::string, int> turns;
   uint64_t id = 0;
   const auto push = [&](const std::string& workspace) {
@@ -284,7 +284,7 @@
 }
 
 TEST(request_admission, callers_that_repeat_at_once_take_from_themselves) {
-  fair_queue queue(queue_order{true, 5});
+  fair_queue queue(queue_policy{true, 5});
   std::map<std::string, int> turns;
   uint64_t id = 0;
   const auto push = [&](const std::string& caller) {
@@ -306,13 +306,13 @@
   early.caller = "early";
   auto kept = node.ask("w", 3, 60 * ms);
   kept.caller = "kept";
-  ASSERT_EQ(node.enter_and_decide(early).verdict, admission_verdict::refuse);
+  ASSERT_EQ(node.enter_and_decide(early).action, admission_action::refuse);
   const auto told = node.enter_and_decide(kept);
-  ASSERT_EQ(told.verdict, admission_verdict::refuse);
+  ASSERT_EQ(told.action, admission_action::refuse);
   // The early one comes back at once, is refused, and again with the other.
   early = node.ask("w", 3, 60 * ms);
   early.caller = "early";
-  ASSERT_EQ(node.enter_and_decide(early).verdict, admission_verdict::refuse);
+  ASSERT_EQ(node.enter_and_decide(early).action, admission_action::refuse);
   node.now += told.retry_after;
   early = node.ask("w", 3, 500 * ms);
   early.caller = "early";
@@ -321,13 +321,13 @@
   node.enter_and_decide(early);
   node.enter_and_decide(kept);
   node.options[0].running = 10;
-  EXPECT_EQ(node.decide(early).verdict, admission_verdict::wait);
-  EXPECT_EQ(node.decide(kept).verdict, admission_verdict::send);
+  EXPECT_EQ(node.decide(early).action, admission_action::wait);
+  EXPECT_EQ(node.decide(kept).action, admission_action::send);
 }
 
 /// Longest that a kind of a workspace that always has one waiting went without
 /// a turn, in turns, while requests of all ranks compete.
-uint64_t longest_without_turn(queue_order order,
+uint64_t longest_without_turn(queue_policy order,
                               const std::vector<int>& ranks) {
   fair_queue queue(order);
   std::map<std::string, uint64_t> last;
@@ -382,24 +382,24 @@
   for (const int step : steps) {
     node.now += (step % 7) * ms;
     if (step % 5 == 0 && !waiting.empty()) {
-      node.admission.leave(waiting.back());
+      node.admission.dequeue(waiting.back());
       waiting.pop_back();
     } else {
       auto request = node.ask(absl::StrCat("w", step % 4), step % 10, 500 * ms);
       request.bytes = 100 * step;
-      if (node.admission.enter(request, node.now)) waiting.push_back(request);
+      if (node.admission.enqueue(request, node.now)) waiting.push_back(request);
     }
     RC_ASSERT(node.admission.waiting("lm/small") <= limits.entries);
     RC_ASSERT(node.admission.waiting_bytes() <= limits.bytes);
     std::erase_if(waiting, [&](const auto& request) {
       const bool over = node.now - request.arrived >= limits.wait;
       if (over) {
-        RC_ASSERT(node.decide(request).verdict != admission_verdict::wait);
+        RC_ASSERT(node.decide(request).action != admission_action::wait);
       }
       return over;
     });
   }
-  for (const auto& request : waiting) node.admission.leave(request);
+  for (const auto& request : waiting) node.admission.dequeue(request);
   RC_ASSERT(node.admission.waiting("lm/small") == 0U);
   RC_ASSERT(node.admission.waiting_bytes() == 0U);
 }
@@ -418,7 +418,7 @@
 
 /// Most requests that any of 15 groups held at once while 83 nodes had requests
 /// at random, by news of the given age.
-int most_in_one_group(double per_s, absl::Duration news_age) {
+int most_in_one_group(double per_s, absl::Duration load_age) {
   constexpr size_t groups = 15;
   constexpr size_t count = 83;
   nodes_with_old_news fleet(count);
@@ -437,7 +437,7 @@
     std::vector<int> known(groups);
     std::vector<double> unread(groups);
     for (const auto& s : all) {
-      if (now - s.at < news_age) continue;
+      if (now - s.at < load_age) continue;
       known[s.group]++;
       if (now - s.at < 120 * ms) unread[s.group] += 714;
     }
@@ -447,18 +447,18 @@
       node.fill(groups, 0);
       for (size_t g = 0; g < groups; ++g) {
         node.options[g].running = known[g];
-        node.options[g].unread_tokens = unread[g];
+        node.options[g].pending_prefill_tokens = unread[g];
       }
       if (random.unit() < per_s / count * 0.005) {
         const auto request = node.ask();
-        if (node.admission.enter(request, now)) waiting[n].push_back(request);
+        if (node.admission.enqueue(request, now)) waiting[n].push_back(request);
       }
       std::erase_if(waiting[n], [&](const auto& request) {
         const auto answer = node.decide(request);
-        if (answer.verdict == admission_verdict::send) {
+        if (answer.action == admission_action::send) {
           all.push_back({now, answer.option});
         }
-        return answer.verdict != admission_verdict::wait;
+        return answer.action != admission_action::wait;
       });
     }
     std::vector<int> held_by(groups);
--- a/test/request-policy-test.cc
+++ b/test/request-policy-test.cc
@@ -39,10 +39,10 @@
 engine_profile engine() {
   engine_profile out;
   out.slots = 4;
-  out.stride = 5;
+  out.decode_steps_per_pass = 5;
   out.step_ms = 6;
   out.step_ms_per_request = 0.25;
-  out.read_tokens_per_ms = 46;
+  out.prefill_tokens_per_ms = 46;
   out.models = {{"large", 4, 1, 1, absl::Seconds(16), absl::Seconds(1)}};
   return out;
 }
@@ -89,9 +89,9 @@
   loads.begin("g", 100);
   loads.begin("g", 50);
   loads.read("g", 100);
-  loads.take_peer("n2", {{"g", 3, 10}}, start);
+  loads.update_peer("n2", {{"g", 3, 10}}, start);
   EXPECT_EQ(loads.total("g", start).running, 5);
-  EXPECT_EQ(loads.total("g", start).unread_tokens, 60);
+  EXPECT_EQ(loads.total("g", start).pending_prefill_tokens, 60);
   loads.end("g");
   loads.end("g");
   EXPECT_EQ(loads.own_running("g"), 0);
@@ -99,30 +99,31 @@
 
 TEST(load_table, forgets_a_peer_that_fell_silent) {
   load_table loads;
-  loads.take_peer("n2", {{"g", 3, 10}}, start);
-  EXPECT_EQ(loads.total("g", start + load_table::peer_time).running, 3);
-  EXPECT_EQ(loads.total("g", start + load_table::peer_time + absl::Seconds(1))
-                .running,
-            0);
+  loads.update_peer("n2", {{"g", 3, 10}}, start);
+  EXPECT_EQ(loads.total("g", start + load_table::peer_timeout).running, 3);
+  EXPECT_EQ(
+      loads.total("g", start + load_table::peer_timeout + absl::Seconds(1))
+          .running,
+      0);
 }
 
 TEST(load_table, a_later_word_of_a_peer_replaces_the_earlier) {
   load_table loads;
-  loads.take_peer("n2", {{"g", 3, 10}, {"h", 1, 5}}, start);
-  loads.take_peer("n2", {{"g", 1, 0}}, start);
-  EXPECT_EQ(loads.total("g", start), (place_load{"g", 1, 0}));
-  EXPECT_EQ(loads.total("h", start), (place_load{"h", 0, 0}));
-  loads.drop_peer("n2");
+  loads.update_peer("n2", {{"g", 3, 10}, {"h", 1, 5}}, start);
+  loads.update_peer("n2", {{"g", 1, 0}}, start);
+  EXPECT_EQ(loads.total("g", start), (endpoint_load{"g", 1, 0}));
+  EXPECT_EQ(loads.total("h", start), (endpoint_load{"h", 0, 0}));
+  loads.remove_peer("n2");
   EXPECT_EQ(loads.total("g", start).running, 0);
 }
 
 TEST(load_table, sums_its_hall_and_the_others_apart) {
   load_table loads;
   loads.begin("g", 7);
-  loads.take_peer("n2", {{"g", 3, 10}}, start);
-  loads.take_peer("/east", {{"g", 4, 0}, {"h", 2, 1}}, start, true);
-  const std::vector<place_load> near = {{"g", 4, 17}};
-  const std::vector<place_load> far = {{"g", 4, 0}, {"h", 2, 1}};
+  loads.update_peer("n2", {{"g", 3, 10}}, start);
+  loads.update_peer("/east", {{"g", 4, 0}, {"h", 2, 1}}, start, true);
+  const std::vector<endpoint_load> near = {{"g", 4, 17}};
+  const std::vector<endpoint_load> far = {{"g", 4, 0}, {"h", 2, 1}};
   EXPECT_EQ(loads.hall_sum(false, start), near);
   EXPECT_EQ(loads.hall_sum(true, start), far);
   EXPECT_EQ(loads.total("g", start).running, 8);
--- a/test/requests-test.cc
+++ b/test/requests-test.cc
@@ -8,13 +8,13 @@
 const absl::Time start = absl::UnixEpoch() + absl::Hours(1);
 
 /// A world whose places a test sets.
-class small_world final : public place_finder {
+class small_world final : public routing_view {
  public:
-  std::vector<open_place> open_places(target_kind,
-                                      const std::string&) const override {
+  std::vector<open_target> open_places(target_kind,
+                                       const std::string&) const override {
     return this->places;
   }
-  bool holds(target_kind, const attempt_target&) const override {
+  bool can_complete(target_kind, const attempt_target&) const override {
     return this->held;
   }
   std::vector<attempt_target> other_halls(target_kind,
@@ -22,11 +22,11 @@
     return this->others;
   }
   const configuration* config() const override { return &this->configured; }
-  absl::Duration reopen_guess(const std::string&) const override {
+  absl::Duration estimated_reopen(const std::string&) const override {
     return absl::Seconds(7);
   }
 
-  std::vector<open_place> places;
+  std::vector<open_target> places;
   std::vector<attempt_target> others;
   bool held = true;
   configuration configured;
@@ -169,14 +169,15 @@
   this->world.others = {{"far", "f1", 0, true}};
   const auto id = this->send();
   EXPECT_TRUE(this->latest(id).target.remote_hall);
-  request_info hopped;
-  hopped.id = ++this->last;
-  hopped.target = "m";
-  hopped.workspace = "w";
-  hopped.hopped = true;
-  hopped.deadline = this->now + absl::Seconds(10);
-  this->table.arrive(hopped, this->world, this->random, this->now, this->out);
-  EXPECT_EQ(this->starts(hopped.id), 0);
+  request_info forwarded;
+  forwarded.id = ++this->last;
+  forwarded.target = "m";
+  forwarded.workspace = "w";
+  forwarded.forwarded = true;
+  forwarded.deadline = this->now + absl::Seconds(10);
+  this->table.arrive(forwarded, this->world, this->random, this->now,
+                     this->out);
+  EXPECT_EQ(this->starts(forwarded.id), 0);
 }
 
 TEST_F(requests, attempts_at_a_lost_group_are_given_up_and_go_on) {
--- a/test/scale-bench.cc
+++ b/test/scale-bench.cc
@@ -5,7 +5,7 @@
 
 #include "fleet-emulator.h"
 #include "node-message.h"
-#include "server-news.h"
+#include "server-changes.h"
 #include "spokesail/group-controller.h"
 #include "spokesail/load-table.h"
 #include "spokesail/relay-choice.h"
@@ -22,10 +22,10 @@
 backend_service engine_service() {
   engine_profile engine;
   engine.slots = 22;
-  engine.stride = 8;
+  engine.decode_steps_per_pass = 8;
   engine.step_ms = 6;
-  engine.read_tokens_per_ms = 46;
-  engine.read_chunk = 2048;
+  engine.prefill_tokens_per_ms = 46;
+  engine.prefill_chunk = 2048;
   engine.loads_per_s = 80;
   engine.loads_at_once = 60;
   engine.open_time = absl::Milliseconds(300);
@@ -50,16 +50,16 @@
     for (int i = 0; i < 500; ++i) this->step(false);
   }
 
-  void step(bool loads_count) {
+  void step(bool requests_seen) {
     this->now += step_time;
     this->fleet.advance(this->now);
     const group_actions actions = this->controller.step(
-        this->fleet.directory(), this->config, loads_count, this->now);
+        this->fleet.directory(), this->config, requests_seen, this->now);
     for (const auto& order : actions.orders) {
       const order_result result = this->fleet.give(order, this->now);
-      this->controller.on_order(order, result, this->now);
+      this->controller.on_order_result(order, result, this->now);
     }
-    for (const auto& id : actions.reports) {
+    for (const auto& id : actions.report_requests) {
       this->controller.on_report(id, this->fleet.report(id), this->now);
     }
   }
@@ -85,11 +85,11 @@
   constexpr int places = 70;
   load_table loads;
   for (int64_t n = 0; n < peers; ++n) {
-    std::vector<place_load> said;
+    std::vector<endpoint_load> said;
     for (int p = 0; p < places; p += 7) {
       said.push_back({absl::StrCat("large.", p), 2, 800});
     }
-    loads.take_peer(absl::StrCat("n", n), said, now);
+    loads.update_peer(absl::StrCat("n", n), said, now);
   }
   return loads;
 }
@@ -121,8 +121,9 @@
   for (auto _ : state) {
     changed.revision = ++revision;
     directory.update(changed);
-    directory.caught_up(revision);
-    benchmark::DoNotOptimize(news_since(directory, revision - 1, run.now));
+    directory.advance_revision(revision);
+    benchmark::DoNotOptimize(
+        server_changes_since(directory, revision - 1, run.now));
   }
 }
 BENCHMARK(apply_one_change)->Arg(50)->Arg(931)->Arg(2000);
@@ -143,11 +144,11 @@
 /// One second of demand taken into the division of so many hosts.
 void divide_hosts_by_demand(benchmark::State& state) {
   const engine_profile engine = *engine_service().engine;
-  host_room room;
+  host_capacity room;
   room.halls = halls;
   const auto domains = static_cast<size_t>(state.range(0) / hosts_of_domain);
   room.domains.assign(domains, hosts_of_domain - 6);
-  const count_by_model wanted = divide_hosts(
+  const count_by_model wanted = allocate_hosts(
       engine, room, {{"large", domains * 0.5}, {"small", domains * 1.0}});
   const need_by_model need = {{"large", domains * 0.51},
                               {"small", domains * 1.0}};
@@ -168,7 +169,7 @@
   demand_table table;
   for (int64_t n = 0; n < state.range(0); ++n) {
     const std::string hall = absl::StrCat("h", n % halls);
-    table.take_node(absl::StrCat("n", n), hall, said, now);
+    table.update_node(absl::StrCat("n", n), hall, said, now);
   }
   for (auto _ : state) benchmark::DoNotOptimize(table.total(said, now));
 }
--- a/test/server-directory-test.cc
+++ b/test/server-directory-test.cc
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-#include "server-news.h"
+#include "server-changes.h"
 
 namespace spokesail {
 namespace {
@@ -22,7 +22,7 @@
   return out;
 }
 
-TEST(server_news, says_how_much_longer_a_server_is_cold) {
+TEST(server_change, says_how_much_longer_a_server_is_cold) {
   server_directory from;
   listed_server cold;
   cold.entry.id = "s";
@@ -30,16 +30,16 @@
   cold.cold_until = absl::UnixEpoch() + absl::Milliseconds(2750);
   from.update(cold);
   const absl::Time told = absl::UnixEpoch() + absl::Milliseconds(750);
-  const auto news = news_since(from, 0, told);
+  const auto news = server_changes_since(from, 0, told);
   // The clocks of two nodes have nothing to do with each other.
   const absl::Time heard = absl::UnixEpoch() + absl::Hours(9);
   server_directory to;
-  apply_news(to, news, heard);
+  apply_server_changes(to, news, heard);
   EXPECT_EQ(to.servers().at("s").cold_until, heard + absl::Seconds(2));
   EXPECT_EQ(to.all_warm_at(), heard + absl::Seconds(2));
 }
 
-TEST(server_news, says_nothing_of_servers_that_are_warm_again) {
+TEST(server_change, says_nothing_of_servers_that_are_warm_again) {
   server_directory from;
   listed_server warm;
   warm.entry.id = "s";
@@ -48,7 +48,7 @@
   from.update(warm);
   const absl::Time told = absl::UnixEpoch() + absl::Seconds(1);
   server_directory to;
-  apply_news(to, news_since(from, 0, told), told);
+  apply_server_changes(to, server_changes_since(from, 0, told), told);
   EXPECT_EQ(to.servers().at("s").cold_until, absl::InfinitePast());
 }
 
@@ -192,39 +192,40 @@
 }
 
 /// A node that has just started lacks all servers, more than fit a datagram.
-TEST(server_news, parts_bring_a_large_directory_over_in_order) {
+TEST(server_change, parts_bring_a_large_directory_over_in_order) {
   constexpr int servers = 931;
   constexpr size_t most = 200;
   server_directory from;
   for (int i = 1; i <= servers; ++i) {
     from.update(server(std::to_string(i), i));
   }
-  from.caught_up(servers + 5);
-  const auto parts =
-      split_news(news_since(from, 0, start), most, 0, from.revision());
+  from.advance_revision(servers + 5);
+  const auto parts = split_server_changes(server_changes_since(from, 0, start),
+                                          most, 0, from.revision());
   server_directory to;
   for (const auto& part : parts) {
     EXPECT_EQ(part.from_revision, to.revision());
     EXPECT_LE(part.servers.size(), most);
-    apply_news(to, part.servers, start);
-    to.caught_up(part.to_revision);
+    apply_server_changes(to, part.servers, start);
+    to.advance_revision(part.to_revision);
   }
   EXPECT_EQ(to.servers(), from.servers());
   EXPECT_EQ(to.revision(), from.revision());
 }
 
-TEST(server_news, without_changes_there_is_one_empty_part) {
-  const std::vector<news_part> expected = {{7, 9, {}}};
-  EXPECT_EQ(split_news({}, 200, 7, 9), expected);
+TEST(server_change, without_changes_there_is_one_empty_part) {
+  const std::vector<server_change_batch> expected = {{7, 9, {}}};
+  EXPECT_EQ(split_server_changes({}, 200, 7, 9), expected);
 }
 
-TEST(server_news, servers_that_lapse_never_hide_later_changes) {
+TEST(server_change, servers_that_lapse_never_hide_later_changes) {
   server_directory from;
   for (int i = 1; i <= 9; ++i) from.update(server(std::to_string(i), i));
   for (int i = 1; i <= 7; ++i) {
     from.remove(std::to_string(i), i, start + absl::Seconds(2));
   }
-  const auto parts = split_news(news_since(from, 7, start), 3, 7, 9);
+  const auto parts =
+      split_server_changes(server_changes_since(from, 7, start), 3, 7, 9);
   EXPECT_EQ(parts.front().from_revision, 7);
   EXPECT_EQ(parts.back().to_revision, 9);
   size_t told = 0;
--- a/test/server-limit-test.cc
+++ b/test/server-limit-test.cc
@@ -2,7 +2,7 @@
 #include <atomic>
 
 #include "node-fixture.h"
-#include "spokesail/cold-timing.h"
+#include "spokesail/grant-timing.h"
 
 namespace spokesail {
 namespace {
@@ -13,7 +13,7 @@
 /// Length of the window in which a platform counts a server's requests.
 constexpr absl::Duration window = absl::Seconds(4);
 /// Time that nodes have to comply after a limit is first advertised.
-constexpr absl::Duration notice = absl::Seconds(3);
+constexpr absl::Duration report_suspect = absl::Seconds(3);
 
 /// Maximum number of requests to a server within a window.
 double allowed(double per_s) {
@@ -41,8 +41,8 @@
     const auto call = [&] {
       while (boot_now() < until) {
         const int number = this->sent++;
-        const auto answer = this->ask(request(absl::StrCat("request-", number)),
-                                      number % node_count);
+        const auto answer = this->send_request(
+            request(absl::StrCat("request-", number)), number % node_count);
         if (answer.result_int() == 200) this->served++;
       }
     };
@@ -70,7 +70,7 @@
         this->on_loop([this] { return this->fleet->record.arrivals; });
     std::map<std::string, std::vector<absl::Time>> times;
     for (const auto& arrival : arrivals) {
-      if (arrival.at < this->advertised_at + notice) continue;
+      if (arrival.at < this->advertised_at + report_suspect) continue;
       times[arrival.server].push_back(arrival.at);
     }
     int most = 0;
@@ -93,7 +93,7 @@
 TEST_F(server_limit_test, groups_get_no_more_than_their_heads_name) {
   this->start(node_count);
   this->advertise_limit("lm", "1.4");
-  this->send_load(notice + window, stream_request);
+  this->send_load(report_suspect + window, stream_request);
   EXPECT_LE(this->most_in_a_window(), allowed(1.4));
   EXPECT_GT(this->served, 0);
 }
@@ -102,7 +102,7 @@
 TEST_F(server_limit_test, plain_servers_get_no_more_than_they_name) {
   this->start(node_count);
   this->advertise_limit("status", "1.4");
-  this->send_load(notice + window, [](const std::string& id) {
+  this->send_load(report_suspect + window, [](const std::string& id) {
     return request(id, "/look/now");
   });
   EXPECT_LE(this->most_in_a_window(), allowed(1.4));
@@ -114,8 +114,8 @@
   this->start(node_count);
   this->advertise_limit("lm", "1");
   for (int i = 0; i < 60; ++i) {
-    const auto answer =
-        this->ask(stream_request(absl::StrCat("request-", i)), i % node_count);
+    const auto answer = this->send_request(
+        stream_request(absl::StrCat("request-", i)), i % node_count);
     if (answer.result_int() == 200) continue;
     EXPECT_EQ(answer.result_int(), 503U);
     EXPECT_EQ(answer.body(), "servers have reached their limits");
@@ -136,7 +136,7 @@
   this->on_loop([this] { this->fleet->faults.store_silent = true; });
   ASSERT_TRUE(this->wait_until([this] { return !this->any_holds_lease(); }));
   std::this_thread::sleep_for(
-      absl::ToChronoMilliseconds(cold_timing().grant_time));
+      absl::ToChronoMilliseconds(grant_timing().grant_lifetime));
   this->served = 0;
   this->send_load(window, stream_request);
   EXPECT_GT(this->served, 0);
@@ -152,7 +152,9 @@
   EXPECT_TRUE(this->on_loop([this] { return this->no_limits(); }));
   for (int i = 0; i < 30; ++i) {
     const auto id = absl::StrCat("after-", i);
-    EXPECT_EQ(this->ask(stream_request(id), i % node_count).result_int(), 200U);
+    EXPECT_EQ(
+        this->send_request(stream_request(id), i % node_count).result_int(),
+        200U);
   }
 }
 
@@ -160,7 +162,8 @@
 TEST_F(server_limit_test, nodes_gossip_limits) {
   this->start(node_count);
   this->advertise_limit("lm", "5");
-  EXPECT_EQ(this->ask(stream_request("request-1"), 0).result_int(), 200U);
+  EXPECT_EQ(this->send_request(stream_request("request-1"), 0).result_int(),
+            200U);
   EXPECT_TRUE(this->wait_until([this] {
     return std::all_of(
         this->nodes.begin(), this->nodes.end(),
@@ -174,7 +177,9 @@
   this->advertise_limit("lm", "many");
   for (int i = 0; i < 30; ++i) {
     const auto id = absl::StrCat("request-", i);
-    EXPECT_EQ(this->ask(stream_request(id), i % node_count).result_int(), 200U);
+    EXPECT_EQ(
+        this->send_request(stream_request(id), i % node_count).result_int(),
+        200U);
   }
 }
 
--- a/test/slow-caller-test.cc
+++ b/test/slow-caller-test.cc
@@ -53,16 +53,18 @@
   this->start(1);
   auto slow = std::make_unique<tcp::socket>(this->slow_caller("r1"));
   ASSERT_TRUE(this->wait_until([this] {
-    return !this->nodes.front()->context().held.takes_requests();
+    return !this->nodes.front()->context().held.accepts_requests();
   }));
-  const auto refused = this->ask(stream_request("r2"));
+  const auto refused = this->send_request(stream_request("r2"));
   EXPECT_EQ(refused.result_int(), 503U);
   EXPECT_EQ(refused.body(), "node holds too much");
   EXPECT_EQ(this->runs("r2"), 0);
   slow.reset();
-  ASSERT_TRUE(this->wait_until(
-      [this] { return this->nodes.front()->context().held.takes_requests(); }));
-  EXPECT_EQ(event_ids(this->ask(stream_request("r3")).body()), all_ids());
+  ASSERT_TRUE(this->wait_until([this] {
+    return this->nodes.front()->context().held.accepts_requests();
+  }));
+  EXPECT_EQ(event_ids(this->send_request(stream_request("r3")).body()),
+            all_ids());
 }
 
 }  // namespace
--- a/test/speed-table-test.cc
+++ b/test/speed-table-test.cc
@@ -18,19 +18,19 @@
 
 const absl::Time begin = absl::FromUnixSeconds(1000);
 
-std::string name_of(int place) {
+std::string name_of(int endpoint) {
   // As long as the names of groups and servers are.
-  return "dele69a-large-" + std::to_string(100000 + place);
+  return "dele69a-large-" + std::to_string(100000 + endpoint);
 }
 
-seen_place seen(int place, int64_t epoch = 1) {
-  return {"lm/large", name_of(place), epoch};
+endpoint_id seen(int endpoint, int64_t epoch = 1) {
+  return {"lm/large", name_of(endpoint), epoch};
 }
 
 /// What a request at a place meets: what its answer takes against what was
 /// expected, or nothing if it fails.
-using place_answer =
-    std::function<std::optional<double>(int node, int place, absl::Time now)>;
+using place_answer = std::function<std::optional<double>(int node, int endpoint,
+                                                         absl::Time now)>;
 
 /// Nodes of one hall that choose among places by slowness, and tell each other
 /// what they saw.
@@ -58,11 +58,11 @@
   void send(int node) {
     speed_table& table = this->tables[node];
     for (int i = 0; i < this->requests; ++i) {
-      const int place = this->choose(node);
-      this->got[place]++;
-      const auto ratio = this->answer(node, place, this->now);
-      if (ratio) table.note(seen(place), *ratio, this->now);
-      if (!ratio) table.note_failure(seen(place), this->now);
+      const int endpoint = this->choose(node);
+      this->got[endpoint]++;
+      const auto ratio = this->answer(node, endpoint, this->now);
+      if (ratio) table.add_sample(seen(endpoint), *ratio, this->now);
+      if (!ratio) table.record_failure(seen(endpoint), this->now);
     }
   }
 
@@ -79,18 +79,18 @@
 
   std::vector<double> slowness(int node) {
     std::vector<double> out;
-    for (int place = 0; place < this->places; ++place) {
-      out.push_back(this->tables[node].slowness(name_of(place), this->now));
+    for (int endpoint = 0; endpoint < this->places; ++endpoint) {
+      out.push_back(this->tables[node].slowness(name_of(endpoint), this->now));
     }
     return bound_slowness(std::move(out));
   }
 
   void gossip() {
     for (int from = 0; from < this->nodes; ++from) {
-      const auto said = this->tables[from].told(this->now);
+      const auto said = this->tables[from].reported(this->now);
       for (int to = 0; to < this->nodes; ++to) {
         if (to == from) continue;
-        this->tables[to].take_peer(std::to_string(from), said, this->now);
+        this->tables[to].update_peer(std::to_string(from), said, this->now);
       }
     }
   }
@@ -99,9 +99,9 @@
   double share_of_first(int first) const {
     double there = 0;
     double all = 0;
-    for (const auto& [place, count] : this->got) {
+    for (const auto& [endpoint, count] : this->got) {
       all += count;
-      if (place < first) there += count;
+      if (endpoint < first) there += count;
     }
     return there / all;
   }
@@ -114,8 +114,8 @@
 
 TEST(speed_table, two_of_ten_groups_at_a_quarter_of_their_speed_get_less) {
   small_hall hall{.nodes = 4};
-  hall.answer = [&](int, int place, absl::Time) {
-    return std::optional<double>((place < 2 ? 4 : 1) * varied(hall));
+  hall.answer = [&](int, int endpoint, absl::Time) {
+    return std::optional<double>((endpoint < 2 ? 4 : 1) * varied(hall));
   };
   hall.run(absl::Seconds(3));
   hall.got.clear();
@@ -123,16 +123,16 @@
   EXPECT_LT(hall.share_of_first(2), 0.05);
   for (int node = 0; node < hall.nodes; ++node) {
     const auto slowness = hall.slowness(node);
-    for (int place = 2; place < hall.places; ++place) {
-      EXPECT_EQ(slowness[place], 1) << node << " " << place;
+    for (int endpoint = 2; endpoint < hall.places; ++endpoint) {
+      EXPECT_EQ(slowness[endpoint], 1) << node << " " << endpoint;
     }
   }
 }
 
 TEST(speed_table, forty_of_a_hundred_servers_at_a_twelfth_get_less) {
   small_hall hall{.nodes = 20, .places = 100};
-  hall.answer = [&](int, int place, absl::Time) {
-    return std::optional<double>((place < 40 ? 12 : 1) * varied(hall));
+  hall.answer = [&](int, int endpoint, absl::Time) {
+    return std::optional<double>((endpoint < 40 ? 12 : 1) * varied(hall));
   };
   hall.run(absl::Seconds(4));
   hall.got.clear();
@@ -143,8 +143,8 @@
 
 TEST(speed_table, a_place_slow_for_one_node_is_slow_for_that_node_only) {
   small_hall hall{.nodes = 10};
-  hall.answer = [&](int node, int place, absl::Time) {
-    const bool slow = node == 0 && place == 0;
+  hall.answer = [&](int node, int endpoint, absl::Time) {
+    const bool slow = node == 0 && endpoint == 0;
     return std::optional<double>((slow ? 6 : 1) * varied(hall));
   };
   hall.run(absl::Seconds(2));
@@ -162,8 +162,8 @@
 
 TEST(speed_table, a_server_that_fails_four_in_ten_gets_less) {
   small_hall hall{.nodes = 4};
-  hall.answer = [&](int, int place, absl::Time) -> std::optional<double> {
-    if (place == 0 && hall.random.unit() < 0.4) return std::nullopt;
+  hall.answer = [&](int, int endpoint, absl::Time) -> std::optional<double> {
+    if (endpoint == 0 && hall.random.unit() < 0.4) return std::nullopt;
     return varied(hall);
   };
   hall.run(absl::Seconds(2));
@@ -195,16 +195,16 @@
   hall.run(absl::Seconds(4));
   for (int node = 0; node < hall.nodes; ++node) {
     EXPECT_EQ(hall.slowness(node), std::vector<double>(hall.places, 1.0));
-    EXPECT_TRUE(hall.tables[node].told(hall.now).empty());
+    EXPECT_TRUE(hall.tables[node].reported(hall.now).empty());
   }
 }
 
 TEST(speed_table, a_group_left_again_and_again_without_an_answer_is_slow) {
   speed_table table;
-  for (int place = 0; place < 4; ++place) {
+  for (int endpoint = 0; endpoint < 4; ++endpoint) {
     for (int i = 0; i < 12; ++i) {
-      if (place == 0) table.note_unanswered(seen(place), 5, begin);
-      if (place != 0) table.note(seen(place), 1, begin);
+      if (endpoint == 0) table.add_unanswered(seen(endpoint), 5, begin);
+      if (endpoint != 0) table.add_sample(seen(endpoint), 1, begin);
     }
   }
   EXPECT_GT(table.slowness(name_of(0), begin), 3);
@@ -212,28 +212,28 @@
 
 TEST(speed_table, callers_that_leave_early_say_nothing) {
   speed_table table;
-  for (int i = 0; i < 12; ++i) table.note_unanswered(seen(0), 0.5, begin);
+  for (int i = 0; i < 12; ++i) table.add_unanswered(seen(0), 0.5, begin);
   EXPECT_TRUE(table.empty());
 }
 
 TEST(speed_table, one_slow_first_event_changes_nothing) {
   speed_table table;
-  for (int place = 0; place < 4; ++place) {
-    for (int i = 0; i < 5; ++i) table.note(seen(place), 1, begin);
+  for (int endpoint = 0; endpoint < 4; ++endpoint) {
+    for (int i = 0; i < 5; ++i) table.add_sample(seen(endpoint), 1, begin);
   }
-  table.note(seen(0), 50, begin);
-  table.note(seen(9), 50, begin);
+  table.add_sample(seen(0), 50, begin);
+  table.add_sample(seen(9), 50, begin);
   EXPECT_EQ(table.slowness(name_of(0), begin), 1);
   EXPECT_EQ(table.slowness(name_of(9), begin), 1);
-  EXPECT_TRUE(table.told(begin).empty());
+  EXPECT_TRUE(table.reported(begin).empty());
 }
 
 /// A table in which the first of four places is slow.
 speed_table with_one_slow() {
   speed_table out;
-  for (int place = 0; place < 4; ++place) {
+  for (int endpoint = 0; endpoint < 4; ++endpoint) {
     for (int i = 0; i < 12; ++i) {
-      out.note(seen(place), place == 0 ? 4 : 1, begin);
+      out.add_sample(seen(endpoint), endpoint == 0 ? 4 : 1, begin);
     }
   }
   return out;
@@ -242,9 +242,9 @@
 TEST(speed_table, a_group_formed_anew_is_not_blamed) {
   speed_table table = with_one_slow();
   ASSERT_GT(table.slowness(name_of(0), begin), 3);
-  table.note_epoch(seen(0, 2), begin);
+  table.set_epoch(seen(0, 2), begin);
   // A peer that has not heard of it still speaks of the former group.
-  table.take_peer("peer", {{name_of(0), 4, 12}}, begin);
+  table.update_peer("peer", {{name_of(0), 4, 12}}, begin);
   const absl::Time later = begin + absl::Milliseconds(400);
   EXPECT_EQ(table.slowness(name_of(0), later), 1);
 }
@@ -255,14 +255,15 @@
   const double later = table.slowness(name_of(0), begin + absl::Seconds(5));
   EXPECT_LT(later, first);
   EXPECT_GT(later, 1);
-  EXPECT_EQ(table.slowness(name_of(0), begin + speed_table::sample_time), 1);
+  EXPECT_EQ(table.slowness(name_of(0), begin + speed_table::sample_ttl), 1);
 }
 
 TEST(speed_table, a_silent_peers_word_is_forgotten) {
   speed_table table;
-  table.take_peer("peer", {{name_of(0), 4, 12}}, begin);
+  table.update_peer("peer", {{name_of(0), 4, 12}}, begin);
   EXPECT_GT(table.slowness(name_of(0), begin), 3);
-  EXPECT_EQ(table.slowness(name_of(0), begin + 2 * speed_table::peer_time), 1);
+  EXPECT_EQ(table.slowness(name_of(0), begin + 2 * speed_table::peer_timeout),
+            1);
 }
 
 TEST(speed_table, says_once_that_a_place_is_slow_and_fast_again) {
@@ -271,7 +272,7 @@
   table.slowness(name_of(0), begin + absl::Seconds(1));
   const auto slow = table.take_changes();
   ASSERT_EQ(slow.size(), 1U);
-  EXPECT_EQ(slow[0].speed.place, name_of(0));
+  EXPECT_EQ(slow[0].speed.endpoint, name_of(0));
   EXPECT_EQ(slow[0].age, absl::ZeroDuration());
   table.slowness(name_of(0), begin + absl::Seconds(13));
   const auto fast = table.take_changes();
@@ -293,7 +294,7 @@
     is += out[i] > 1;
   }
   if (2 * was > slowness.size() && is > 0) return false;
-  return is <= most_slow(slowness.size()) && 2 * is <= slowness.size();
+  return is <= max_slow_endpoints(slowness.size()) && 2 * is <= slowness.size();
 }
 
 std::vector<double> draw_slowness() {
@@ -322,7 +323,7 @@
 }
 
 /// Bytes that speeds add to one datagram.
-size_t bytes_of(const std::vector<place_speed>& speeds) {
+size_t bytes_of(const std::vector<endpoint_speed>& speeds) {
   node_message with;
   with.node = "front-ist-a-12";
   with.hall = "ist-a";
@@ -337,30 +338,31 @@
 TEST(speed_bytes, words_are_few_and_bounded) {
   EXPECT_EQ(bytes_of({}), 0U);
   speed_table table;
-  for (int place = 0; place < 100; ++place) {
+  for (int endpoint = 0; endpoint < 100; ++endpoint) {
     for (int i = 0; i < 5; ++i) {
-      table.note(seen(place), place < 45 ? 4 : 1, begin);
+      table.add_sample(seen(endpoint), endpoint < 45 ? 4 : 1, begin);
     }
   }
-  const auto told = table.told(begin);
-  EXPECT_EQ(told.size(), speed_table::most_told);
-  EXPECT_LE(bytes_of(told), 800U);
-  RecordProperty("bytes", static_cast<int>(bytes_of(told)));
-  RecordProperty("bytes_of_one", static_cast<int>(bytes_of({told.front()})));
+  const auto reported = table.reported(begin);
+  EXPECT_EQ(reported.size(), speed_table::most_told);
+  EXPECT_LE(bytes_of(reported), 800U);
+  RecordProperty("bytes", static_cast<int>(bytes_of(reported)));
+  RecordProperty("bytes_of_one",
+                 static_cast<int>(bytes_of({reported.front()})));
 }
 
 /// Bytes a second that speeds add for one node of a hall: datagrams to each of
 /// the others, twice a second while nothing else is said.
 void count_bytes(int nodes, int places, int slow) {
   small_hall hall{.nodes = nodes, .places = places};
-  hall.answer = [&](int, int place, absl::Time) {
-    return std::optional<double>((place < slow ? 4 : 1) * varied(hall));
+  hall.answer = [&](int, int endpoint, absl::Time) {
+    return std::optional<double>((endpoint < slow ? 4 : 1) * varied(hall));
   };
   hall.run(absl::Seconds(3));
   size_t most = 0;
   size_t sum = 0;
   for (int node = 0; node < nodes; ++node) {
-    const size_t bytes = bytes_of(hall.tables[node].told(hall.now));
+    const size_t bytes = bytes_of(hall.tables[node].reported(hall.now));
     most = std::max(most, bytes);
     sum += bytes;
   }
--- a/test/stall-watch-test.cc
+++ b/test/stall-watch-test.cc
@@ -1,11 +1,10 @@
 // Groups that stand still, by what a node's own streams show. The load: a
 // second run that is sent to a group from which nothing ever comes.
-#include "stall-watch.h"
-
 #include <gtest/gtest.h>
 
 #include "fleet-adapter.h"
 #include "spokesail/routing-config.h"
+#include "stall-detector.h"
 
 namespace spokesail {
 namespace {
@@ -47,15 +46,15 @@
     this->node.routes = std::make_shared<const routing_table>(config);
   }
 
-  static request_place place() {
+  static endpoint_target endpoint() {
     return {"s1", "127.0.0.1:1", "large-7", 1, {"s1", "s2"}, 1};
   }
 
   /// A request that was sent at the start, its first event due in `due`.
   std::unique_ptr<exchange> send(absl::Duration due) {
-    auto out = std::make_unique<exchange>(this->node, place(), 100);
+    auto out = std::make_unique<exchange>(this->node, endpoint(), 100);
     out->sent_at = this->begun;
-    out->first_event_by = this->begun + due;
+    out->first_event_deadline = this->begun + due;
     return out;
   }
 
@@ -72,7 +71,7 @@
   no_store store;
   http_fetcher fetcher{loop.get_executor(), "test"};
   node_context node{settings, loop, *adapter, store, fetcher, quiet_log()};
-  stall_watch watch{node};
+  stall_detector watch{node};
   absl::Time begun = node.now();
 };
 
@@ -119,7 +118,7 @@
 TEST_F(stall_test, a_run_in_a_group_that_writes_to_others_is_not_left) {
   const auto run = this->send(absl::Milliseconds(400));
   const auto other = this->send(absl::Milliseconds(400));
-  other->writing = true;
+  other->events_started = true;
   for (int at = 0; at < 3000; at += 20) {
     other->last_event = this->begun + absl::Milliseconds(at);
     this->watch.check(this->begun + absl::Milliseconds(at));
--- a/test/uneven-demand-test.cc
+++ b/test/uneven-demand-test.cc
@@ -24,12 +24,12 @@
 backend_service service_of_two_sizes() {
   engine_profile engine;
   engine.slots = 34;
-  engine.stride = 5;
+  engine.decode_steps_per_pass = 5;
   engine.step_ms = 6.07;
   engine.step_ms_per_request = 0.241;
   engine.step_ms_per_1k_context = 0.00488;
-  engine.read_tokens_per_ms = 46;
-  engine.read_chunk = 2048;
+  engine.prefill_tokens_per_ms = 46;
+  engine.prefill_chunk = 2048;
   engine.loads_per_s = 14;
   engine.loads_at_once = 20;
   engine.open_time = absl::Milliseconds(300);
@@ -66,7 +66,7 @@
     this->run.fleet.load_factor = 0.1;
     this->run.run_for(absl::Seconds(30));
     this->run.fleet.load_factor = 1;
-    this->run.loads_count = true;
+    this->run.requests_seen = true;
     this->loads_before = this->run.fleet.loads.size();
     this->epochs_before = this->group_names();
   }
@@ -158,7 +158,7 @@
     this->said_at = this->run.now;
     for (int hall = 1; hall < halls; ++hall) {
       if (this->unheard.count(hall) != 0) continue;
-      this->table.take_hall(
+      this->table.update_hall(
           absl::StrCat("h", hall),
           this->windows[static_cast<size_t>(hall)].rates(this->run.now),
           this->run.now);
@@ -166,7 +166,7 @@
     demand_view known =
         this->table.total(this->windows[0].rates(this->run.now), this->run.now);
     known.age = std::max(known.age, this->oldest_word);
-    this->run.controller.take_demand(known, this->run.now);
+    this->run.controller.update_demand(known, this->run.now);
   }
   void count() {
     for (auto& [model, count] : this->least) {
@@ -205,8 +205,8 @@
 /// Shows that the rules of a change are what holds calm demand still.
 TEST(uneven_demand, without_hysteresis_calm_demand_would_move_groups) {
   group_controller_options options = following();
-  options.division_rules.wait_for_loads = false;
-  options.division_rules.least_gain = 0;
+  options.reallocation.wait_for_loads = false;
+  options.reallocation.min_gain = 0;
   asked_fleet fleet(1, options);
   random_stream random{std::mt19937_64(1)};
   fleet.noise = [&](const auto&) { return 0.8 + 0.4 * random.unit(); };
@@ -258,7 +258,7 @@
   const absl::Time since = fleet.run.now;
   fleet.ask(26, 78);
   fleet.run_for(shift_time);
-  EXPECT_LE(fleet.run.most_loads(absl::Seconds(5), since), 77);
+  EXPECT_LE(fleet.run.max_loads_in_window(absl::Seconds(5), since), 77);
   EXPECT_GT(fleet.loads(), 0U);
 }
 
@@ -307,7 +307,7 @@
   for (const auto& [id, server] : fleet.run.fleet.directory().servers()) {
     if (server.entry.domain != "d3") continue;
     fleet.run.fleet.set_dark(id, true);
-    fleet.run.notice(id);
+    fleet.run.report_suspect(id);
   }
   fleet.run_for(absl::Seconds(60));
   EXPECT_GE(fleet.least["large"], 2);
@@ -351,7 +351,7 @@
 /// Among many nodes there is always one whose last two words were lost.
 TEST(uneven_demand, lost_words_of_single_nodes_hold_nothing_up) {
   asked_fleet fleet(3);
-  fleet.oldest_word = demand_table::word_time - absl::Milliseconds(1);
+  fleet.oldest_word = demand_table::report_ttl - absl::Milliseconds(1);
   fleet.ask(26, 78);
   fleet.run_for(shift_time);
   EXPECT_GE(fleet.serving("small"), 24);
@@ -366,9 +366,9 @@
     fleet.ask(20 + 70 * random.unit(), 20 + 70 * random.unit());
     fleet.run.fleet.faults = {0.1 * random.unit(), 0.2 * random.unit(),
                               0.1 * random.unit()};
-    const std::string id = fleet.run.some_server();
+    const std::string id = fleet.run.random_server();
     fleet.run.fleet.kill(id, fleet.run.now);
-    fleet.run.notice(id);
+    fleet.run.report_suspect(id);
     if (i == 4) fleet.run.begin_term(fleet.run.controller.shares());
     fleet.run_for(absl::Seconds(12));
   }
