--- a/src/exchange.cc
+++ b/src/exchange.cc
@@ -134,7 +134,7 @@
   const absl::Duration time =
       answer.keep_alive ? *answer.keep_alive - keep_margin : default_keep;
   if (time <= absl::ZeroDuration()) return;
-  this->node.pool.keep(this->endpoint.server, std::move(this->socket),
+  this->node.pool.put(this->endpoint.server, std::move(this->socket),
                        this->node.now() + std::min(time, default_keep));
 }
 
--- a/src/group-controller-runner.cc
+++ b/src/group-controller-runner.cc
@@ -42,9 +42,9 @@
                                                  lease_manager& lease)
     : node(state), manager(lease), controller(state.settings.groups) {}
 
-holder_state group_controller_runner::word() const {
+holder_state group_controller_runner::published_state() const {
   holder_state out;
-  out.silent = this->controller.silent_servers();
+  out.unresponsive = this->controller.silent_servers();
   out.loads_begun = this->controller.loads_begun(this->node.now());
   out.shares = this->controller.shares();
   return out;
@@ -68,7 +68,7 @@
   if (now - this->demand_updated < demand_period) return;
   this->demand_updated = now;
   const demand_view known =
-      this->node.demand.total(this->node.asked.rates(now), now);
+      this->node.demand.total(this->node.own_demand.rates(now), now);
   this->controller.update_demand(known, now);
   if (now - this->demand_logged < demand_log_period) return;
   this->demand_logged = now;
@@ -212,7 +212,7 @@
     net::co_spawn(this->node.loop, this->fetch_report(id, entry->address),
                   net::detached);
   }
-  if (actions.step_down) this->manager.stand_down();
+  if (actions.step_down) this->manager.step_down();
 }
 
 net::awaitable<void> group_controller_runner::run() {
--- a/src/group-controller-runner.h
+++ b/src/group-controller-runner.h
@@ -20,7 +20,7 @@
   boost::asio::awaitable<void> run();
 
   /// What the holder says beside the lease itself.
-  holder_state word() const;
+  holder_state published_state() const;
 
   /// Takes a suspicion.
   void suspect(const std::string& server);
--- a/src/main.cc
+++ b/src/main.cc
@@ -380,7 +380,7 @@
     const auto write = settle_write(
         *store, make_write(base, spec.dump(), "drain-" + operator_name()), 8);
     // Lost to an earlier drain of the same host is as good.
-    if (settled(write)) status = call_status::ok;
+    if (is_finished(write)) status = call_status::ok;
   }
   if (status == call_status::unavailable) return platform_away();
   write_audit(*store, undo ? "drain_undone" : "drain", operator_name(),
--- a/src/node-gossip.cc
+++ b/src/node-gossip.cc
@@ -45,7 +45,7 @@
                                     now);
     }
   } else {
-    this->far.take(peer, said, now);
+    this->far.receive(peer, said, now);
   }
 }
 
@@ -59,24 +59,24 @@
 }
 
 void node_gossip::apply_holder_state(const holder_state& said) {
-  const auto& known = this->node.holder_said;
+  const auto& known = this->node.last_holder_state;
   if (known && !(said == *known) && !said.newer_than(*known)) return;
   this->node.holder_heard_at = this->node.now();
   if (known && said == *known) return;
-  this->node.holder_said = said;
-  this->node.unresponsive_servers = {said.unresponsive_servers.begin(),
-                                     said.unresponsive_servers.end()};
+  this->node.last_holder_state = said;
+  this->node.unresponsive_servers = {said.unresponsive.begin(),
+                                     said.unresponsive.end()};
   this->on_lease(said.lease);
 }
 
-std::optional<holder_state> node_gossip::holder_said() const {
+std::optional<holder_state> node_gossip::current_holder_state() const {
   const auto own = this->own_holder_state();
-  return own ? own : this->node.holder_said;
+  return own ? own : this->node.last_holder_state;
 }
 
 void node_gossip::fill_update(store_update& out) const {
   const absl::Time now = this->node.now();
-  out.holder = this->holder_said();
+  out.holder = this->current_holder_state();
   out.requests_seen = this->node.requests_seen;
   if (out.nonce == 0) return;
   out.remote_places = this->node.loads.hall_sum(true, now);
@@ -95,8 +95,8 @@
   const uint64_t begun = this->node.loads.begun();
   const int peers = this->link.count_reachable_peers(false);
   if (!this->local_pace.due(begun, peers, now)) return;
-  this->local_pace.told(begun, peers, now);
-  said.speeds = this->node.speeds.told(now);
+  this->local_pace.on_sent(begun, peers, now);
+  said.speeds = this->node.speeds.reported(now);
   const bool tells_demand = this->node.settings.groups.follow_demand &&
                             now - this->demand_sent >= demand_period;
   const bool same = said == this->last_local_gossip;
@@ -168,7 +168,7 @@
     const absl::Time now = this->node.now();
     const gossip said = this->make_gossip();
     this->send_local_gossip(said, now);
-    this->far.tell(said, now);
+    this->far.send_due(said, now);
     this->send_suspicions(now);
     this->log_speeds(now);
     if (now - counted >= max_gossip_interval) {
--- a/src/node-gossip.h
+++ b/src/node-gossip.h
@@ -35,7 +35,7 @@
 
   /// The holder's word: this node's own while it holds the lease, or the last
   /// that it heard.
-  std::optional<holder_state> holder_said() const;
+  std::optional<holder_state> current_holder_state() const;
 
   /// Fills in what a relay passes on beside the news of the store.
   void fill_update(store_update& out) const;
--- a/src/node-process.cc
+++ b/src/node-process.cc
@@ -76,7 +76,7 @@
 std::optional<holder_state> node_process::own_holder_state() {
   const auto lease_said = this->lease.snapshot();
   if (!lease_said) return std::nullopt;
-  holder_state next = this->group_runner.snapshot();
+  holder_state next = this->group_runner.published_state();
   next.lease = *lease_said;
   next.sequence = this->published_holder_state.sequence;
   if (!(next == this->published_holder_state)) ++next.sequence;
--- a/src/peer.cc
+++ b/src/peer.cc
@@ -43,7 +43,7 @@
               pending_replies& waiting)
       : sink(events), count(bytes), replies(waiting) {}
 
-  kj::Promise<void> heartbeat(BeatContext context) override {
+  kj::Promise<void> beat(BeatContext context) override {
     this->received(context.getParams().totalSize().wordCount);
     auto paf = kj::newPromiseAndFulfiller<heartbeat_ack>();
     const uint64_t token = ++this->replies.last_token;
--- a/src/remote-gossip.cc
+++ b/src/remote-gossip.cc
@@ -63,7 +63,7 @@
 
 std::vector<model_demand> remote_gossip::demand_to_send(bool mesh,
                                                         absl::Time now) const {
-  std::vector<model_demand> asked = this->node.asked.rates(now);
+  std::vector<model_demand> asked = this->node.own_demand.rates(now);
   if (mesh) return asked;
   return this->node.demand.hall_sum(this->node.settings.hall, asked, now);
 }
--- a/src/request-handler.cc
+++ b/src/request-handler.cc
@@ -457,7 +457,7 @@
   const bool no_room = this->node.settings.groups.follow_demand &&
                        this->sends == 0 && this->model != nullptr;
   if (no_room) {
-    this->node.asked.refuse(this->service->name, this->model->name,
+    this->node.own_demand.refuse(this->service->name, this->model->name,
                             this->node.now());
   }
   co_return co_await this->answer(r);
--- a/src/request-handler.h
+++ b/src/request-handler.h
@@ -61,7 +61,7 @@
     std::optional<limit_report> limit;
   };
 
-  // Checks, attempts and refusals: request-run.cc.
+  // Checks, attempts and refusals: request-handler.cc.
 
   /// Waits a moment until a node that has started knows the configuration and
   /// the servers.
@@ -159,7 +159,7 @@
   std::vector<double> server_slowness(
       const std::vector<const server_entry*>& servers) const;
 
-  // The choice of a place: request-place.cc.
+  // The choice of a place: request-routing.cc.
 
   /// Takes note that a caller asks for a model.
   void record_demand();
--- a/src/store-relay.h
+++ b/src/store-relay.h
@@ -20,7 +20,7 @@
 /// configuration and of the servers, counts from when it was asked, so that a
 /// late answer is never taken for a fresh one. A node whose relay does not
 /// answer, or does not know better, asks the next, and in the end watches the
-/// store itself (see news-age.h).
+/// store itself (see staleness.h).
 class store_relay {
  public:
   store_relay(node_context& node, peer_link& link) : node(node), link(link) {}
