--- a/include/spokesail/backend.h
+++ b/include/spokesail/backend.h
@@ -1,4 +1,4 @@
-// Backend servers: probes, orders and exchanges, as an interface.
+// Interface to backend servers: probes, orders and exchanges.
 #pragma once
 
 #include <absl/time/time.h>
@@ -14,7 +14,7 @@
 
 namespace spokesail {
 
-/// What a probe found.
+/// The result of a probe.
 struct probe_result {
   bool reachable = false;
   host_report report;
@@ -28,20 +28,20 @@
   std::string path;
   std::multimap<std::string, std::string> headers;
   std::string body;
-  /// Sent along, and expected back with the answer.
+  /// Id of the attempt. It is sent in a header that the response must echo.
   std::string attempt;
-  /// Whether a connection that has served before may be used.
+  /// Whether an idle kept-alive connection may be reused.
   bool reuse_connection = true;
-  absl::Duration idle_limit = absl::Seconds(60);
+  absl::Duration idle_timeout = absl::Seconds(60);
 };
 
-/// The first part of an answer.
+/// Status and content type of a response.
 struct exchange_head {
   int status = 0;
   std::string content_type;
 };
 
-/// Takes an answer as it comes. Returning false ends the exchange.
+/// Receives a response as it arrives. Returning false ends the exchange.
 class exchange_sink {
  public:
   virtual ~exchange_sink() = default;
@@ -49,8 +49,8 @@
   virtual bool on_data(const char* data, size_t size) = 0;
 };
 
-/// How an exchange ended. `whole` is said only of an answer that carried the
-/// attempt's id and came to its stated end.
+/// How an exchange ended. `end` is `whole` only if the response carried the
+/// attempt's id and arrived completely, by its length or its final chunk.
 struct exchange_result {
   attempt_end end = attempt_end::broken;
   bool unreachable = false;
@@ -63,7 +63,7 @@
   virtual void cancel() = 0;
 };
 
-/// Speaks with backend servers. All calls block and are safe from any thread.
+/// Client for backend servers. All calls block and are thread-safe.
 class backend_client {
  public:
   virtual ~backend_client() = default;
@@ -72,13 +72,14 @@
                              absl::Duration deadline) = 0;
   virtual order_status send_order(const order& o, absl::Duration deadline) = 0;
 
-  /// Runs one exchange to its end. `started` is given the handle first.
+  /// Runs one exchange to its end. `started` is called first, with the handle
+  /// that cancels it.
   virtual exchange_result exchange(
       const exchange_request& request, exchange_sink& sink,
       const std::function<void(std::shared_ptr<exchange_handle>)>& started) = 0;
 };
 
-/// A client of model engines and plain services over HTTP.
+/// Creates a client for model engines and plain services over HTTP.
 std::unique_ptr<backend_client> make_http_backend();
 
 }  // namespace spokesail
--- a/include/spokesail/daemon.h
+++ b/include/spokesail/daemon.h
@@ -1,4 +1,4 @@
-// The daemon: carries out the reducer's effects and feeds it events.
+// The daemon: feeds events to the reducer and executes its effects.
 #pragma once
 
 #include "spokesail/settings.h"
@@ -6,7 +6,7 @@
 namespace spokesail {
 
 /// Runs a node until SIGTERM or SIGINT has been received and all its requests
-/// have ended. Gives the exit code of the process.
+/// have ended. Returns the exit code of the process.
 int serve(const settings& s);
 
 }  // namespace spokesail
--- a/include/spokesail/effect.h
+++ b/include/spokesail/effect.h
@@ -1,4 +1,4 @@
-// Everything that a node may ask its executor to do, as data.
+// Effects: what the reducer asks the daemon to do, as data.
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
 
 namespace spokesail {
 
-/// Hold the platform's watches, or let go of them.
+/// Start or stop watching the platform.
 struct watch_effect {
   bool enabled = false;
   bool operator==(const watch_effect&) const = default;
@@ -27,11 +27,12 @@
   bool operator==(const platform_effect&) const = default;
 };
 
-/// Ask a backend server for its report.
+/// Probe a backend server.
 struct probe_effect {
   std::string host;
   std::string address;
-  /// Plain services are asked for their health only.
+  /// Whether the server is a plain service, which has a health check but no
+  /// report.
   bool service = false;
   bool operator==(const probe_effect&) const = default;
 };
@@ -42,35 +43,35 @@
   bool operator==(const order_effect&) const = default;
 };
 
-/// Send a beat to a peer.
+/// Send a heartbeat to a peer.
 struct heartbeat_effect {
   std::string address;
   heartbeat content;
   bool operator==(const heartbeat_effect&) const = default;
 };
 
-/// Answer a beat.
+/// Acknowledge a heartbeat.
 struct heartbeat_ack_effect {
   uint64_t token = 0;
   heartbeat_ack content;
   bool operator==(const heartbeat_ack_effect&) const = default;
 };
 
-/// Pass objects on to a peer.
+/// Send objects to a peer.
 struct push_effect {
   std::string address;
   std::vector<object> objects;
   bool operator==(const push_effect&) const = default;
 };
 
-/// Ask a peer for what is newer there.
+/// Request from a peer the objects that are newer than the known ones.
 struct pull_effect {
   std::string address;
   std::vector<object_stamp> known;
   bool operator==(const pull_effect&) const = default;
 };
 
-/// Answer a peer's question for what is newer here.
+/// Reply to a peer's request for newer objects.
 struct pull_reply_effect {
   uint64_t token = 0;
   std::vector<object> objects;
@@ -83,13 +84,13 @@
   bool operator==(const start_effect&) const = default;
 };
 
-/// Give an attempt up: cancel it and close its connection.
+/// Cancel an attempt and close its connection.
 struct cancel_effect {
   std::string attempt;
   bool operator==(const cancel_effect&) const = default;
 };
 
-/// Give a request its end.
+/// End a request with its outcome.
 struct finish_effect {
   uint64_t request = 0;
   outcome result;
@@ -103,7 +104,7 @@
   bool operator==(const log_field&) const = default;
 };
 
-/// Write a log line; an audited one goes into the platform's audit trail too.
+/// Write a log line, and if `audited` an entry of the platform's audit trail.
 struct log_effect {
   std::string name;
   std::vector<log_field> fields;
@@ -111,14 +112,14 @@
   bool operator==(const log_effect&) const = default;
 };
 
-/// Answer a status question with JSON text.
+/// Reply to a status query with JSON text.
 struct status_effect {
   uint64_t token = 0;
   std::string text;
   bool operator==(const status_effect&) const = default;
 };
 
-/// The node's readiness and its counts changed.
+/// Publish the node's readiness and gauges.
 struct gauges_effect {
   bool ready = false;
   int64_t revision = 0;
@@ -130,7 +131,7 @@
   bool operator==(const gauges_effect&) const = default;
 };
 
-/// All requests have ended after a stop: the process may exit.
+/// Exit the process: after a stop, all requests have ended.
 struct exit_effect {
   bool operator==(const exit_effect&) const = default;
 };
--- a/include/spokesail/event.h
+++ b/include/spokesail/event.h
@@ -1,4 +1,4 @@
-// Everything that can happen to a node. Each event carries its time.
+// Events: the inputs of the reducer. Each event carries its time.
 #pragma once
 
 #include <absl/time/time.h>
@@ -18,24 +18,25 @@
 /// Time has passed.
 struct tick_event {};
 
-/// The platform's watch or list gave an object.
+/// A watch of the platform delivered an object.
 struct object_event {
   object seen;
 };
 
-/// A list of a whole kind is complete: what it lacks is gone.
+/// A complete list of a kind. Known objects that it lacks have been deleted.
 struct list_event {
   std::string kind;
   std::vector<object> objects;
   int64_t version = 0;
 };
 
-/// A peer passed objects on.
+/// A peer sent objects.
 struct peer_objects_event {
   std::vector<object> objects;
 };
 
-/// A peer asks for what is newer than it knows; answered under `token`.
+/// A peer requests the objects that are newer than the ones it knows. The
+/// reply carries `token`.
 struct pull_event {
   uint64_t token = 0;
   std::vector<object_stamp> known;
@@ -51,19 +52,19 @@
   absl::Time sent;
 };
 
-/// A beat came in; it is answered under `token`.
+/// A heartbeat arrived. The acknowledgement carries `token`.
 struct heartbeat_event {
   uint64_t token = 0;
   heartbeat content;
 };
 
-/// A beat that was sent at `sent` was answered.
+/// A heartbeat that was sent at `sent` was acknowledged.
 struct heartbeat_ack_event {
   heartbeat_ack content;
   absl::Time sent;
 };
 
-/// Which part of the node waits for a platform call.
+/// The part of the node that made a platform call.
 enum class call_owner { lease, placement, bundle, poll };
 
 /// A platform call ended.
@@ -78,7 +79,7 @@
   order_status status = order_status::unreachable;
 };
 
-/// A caller's request came in.
+/// A caller's request arrived.
 struct request_event {
   request_info info;
 };
@@ -92,15 +93,15 @@
   bool unreachable = false;
 };
 
-/// A caller hung up.
+/// A caller closed its connection.
 struct caller_gone_event {
   uint64_t request = 0;
 };
 
-/// The process was told to stop.
+/// The process received a signal to stop.
 struct stop_event {};
 
-/// An operator asks for the node's status, answered under `token`.
+/// An operator requests the node's status. The reply carries `token`.
 struct status_event {
   uint64_t token = 0;
 };
@@ -111,7 +112,8 @@
                  platform_event, order_event, request_event, attempt_event,
                  caller_gone_event, stop_event, status_event>;
 
-/// An event and when it came, on a clock that runs through suspends.
+/// An event and its time, on a clock that keeps running while the machine is
+/// suspended.
 struct event {
   absl::Time at;
   event_body body;
--- a/include/spokesail/platform-adapter.h
+++ b/include/spokesail/platform-adapter.h
@@ -1,5 +1,6 @@
-// What a platform's adapter provides: translations between its wire and the
-// types of this project. Implementations decide nothing and keep no state.
+// Interface of a platform adapter: translates between the platform's wire
+// formats and the types of this project. Implementations make no decisions and
+// hold no state.
 #pragma once
 
 #include <absl/time/time.h>
@@ -23,64 +24,65 @@
     boost::beast::http::response<boost::beast::http::string_body>;
 using http_fields = boost::beast::http::fields;
 
-/// HTTP/1.1, as messages count versions.
+/// HTTP/1.1 in Boost.Beast's encoding of versions.
 inline constexpr unsigned http_11 = 11;
 
-/// The kinds and names under which the platform keeps what others write.
+/// Kinds and names of the platform objects that a node reads.
 struct platform_kinds {
   std::string config;
-  /// Name of the object that holds the configuration in force.
+  /// Name of the object that holds the current configuration.
   std::string config_name;
   std::string servers;
-  /// Objects named after the data halls that operators have evacuated.
+  /// One object for each data hall that operators have evacuated, by its name.
   std::string evacuations;
   bool operator==(const platform_kinds&) const = default;
 };
 
-/// What a caller's request says, decoded.
+/// The decoded headers of a caller's request.
 struct caller_request {
-  /// Unique for each attempt of a caller; empty if it gave none.
+  /// Unique for each attempt of a caller; empty if the header is missing.
   std::string id;
-  /// Key of its workspace; empty if it gave none.
+  /// API key of its workspace; empty if the header is missing.
   std::string key;
-  /// How long the caller waits; nothing if it does not say.
+  /// How long the caller waits; nothing if the header is missing.
   std::optional<absl::Duration> patience;
   /// Empty for calls of plain services.
   std::string model;
   double prompt_tokens = 0;
-  /// The most that it lets the model generate.
+  /// Maximum number of tokens to generate.
   double answer_limit = 0;
-  /// The caller's own guess at the length of the answer, in tokens; 0 if none.
+  /// The caller's estimate of the answer's length in tokens; 0 if none.
   double answer_hint = 0;
-  /// Last event that the caller has of a stream it takes up; -1 if none.
+  /// Last event received of a stream that the caller resumes; -1 if none.
   int64_t last_event = -1;
   bool operator==(const caller_request&) const = default;
 };
 
-/// What is set on a request to a backend server.
+/// What the headers of a request to a backend server say.
 struct attempt_head {
-  /// The server that is meant, by its id.
+  /// Id of the server that the request is for.
   std::string server;
   /// Name of the workspace; empty if the request needs none.
   std::string workspace;
   absl::Duration time_left;
-  /// 0 to 9, 0 first.
+  /// 0 (highest) to 9.
   int priority = 5;
-  /// The stream is to go on after this event; -1 from its start.
+  /// The stream resumes after this event; -1 starts at the beginning.
   int64_t last_event = -1;
   bool operator==(const attempt_head&) const = default;
 };
 
-/// What a backend server's answer says, decoded.
+/// The decoded head of a backend server's response.
 struct answer_head {
   std::string request_id;
-  /// Whether the server says that it has not run the request.
+  /// Whether the server states that it has not run the request.
   bool not_run = false;
-  /// Whether the answer bears the server's own stamp.
+  /// Whether the response carries the server's stamp. Without it, it may not
+  /// come from the server itself.
   bool stamped = false;
-  /// Server at fault when a group turns a request away; empty if unknown.
+  /// Server that caused a group to refuse a request; empty if unknown.
   std::string at_fault;
-  /// How long the server keeps the connection; nothing if it does not say.
+  /// How long the server keeps the connection open; nothing if not stated.
   std::optional<absl::Duration> keep_alive;
   /// Advertised request rate limit across all nodes, in requests per second;
   /// nothing if the header is missing or invalid.
@@ -90,32 +92,33 @@
   bool operator==(const answer_head&) const = default;
 };
 
-/// The translations of one platform.
+/// Translates the wire formats of one platform.
 class platform_adapter {
  public:
   virtual ~platform_adapter() = default;
 
   virtual platform_kinds kinds() const = 0;
-  /// Path at which the platform asks whether this node takes connections.
+  /// Path of the readiness check by which the platform decides whether to send
+  /// connections to this node.
   virtual std::string ready_path() const = 0;
 
-  /// Nothing if the object is not a configuration that can be read.
+  /// Nothing if the object is not a valid configuration.
   virtual std::optional<routing_config> read_config(const object& o) const = 0;
-  /// Nothing if the object names no server to use, since it is not as a server
-  /// writes it; `fault` then says why, in a few fixed words.
+  /// Nothing if the object is not a valid server entry; `fault` is then set to
+  /// one of a few fixed reasons.
   virtual std::optional<server_entry> read_server(const object& o,
                                                   std::string& fault) const = 0;
 
-  /// Nothing if a value is not of its form; `fault` then says which.
+  /// Nothing if a header value is malformed; `fault` then says which.
   virtual std::optional<caller_request> read_caller(
       const http_fields& head, std::string& fault) const = 0;
-  /// Marks an answer of this node's own with the request's id and the time to
-  /// come back, if that is above zero.
+  /// Sets the headers of a refusal by this node: the request's id and, if above
+  /// zero, the time to retry after.
   virtual void write_refusal(const std::string& request_id,
                              absl::Duration retry_after,
                              http_fields& head) const = 0;
 
-  /// Sets on `head`, a copy of the caller's, what the server is told.
+  /// Sets the headers of an attempt on `head`, a copy of the caller's.
   virtual void write_attempt(const attempt_head& attempt,
                              http_fields& head) const = 0;
   virtual answer_head read_answer(unsigned status,
@@ -125,7 +128,7 @@
   virtual order_result read_order_answer(const http_response& answer) const = 0;
   virtual http_request write_report_request(
       const std::string& server) const = 0;
-  /// Nothing if the answer is not a report.
+  /// Nothing if the response is not a valid report.
   virtual std::optional<server_report> read_report(
       const http_response& answer) const = 0;
 };
--- a/include/spokesail/settings.h
+++ b/include/spokesail/settings.h
@@ -12,7 +12,7 @@
 
 namespace spokesail {
 
-/// One thing that is wrong with a YAML file.
+/// One error in a YAML file.
 struct yaml_fault {
   std::string file;
   /// Counted from 1; 0 if the file could not be read.
@@ -28,27 +28,27 @@
   std::vector<yaml_fault> faults;
 };
 
-/// A fault as one line for people.
+/// Formats a fault as one line of text.
 std::string describe(const yaml_fault& fault);
 
-/// A peer that the settings name.
+/// A peer that is listed in the settings.
 struct peer_setting {
   std::string hall;
   std::string address;
   bool operator==(const peer_setting&) const = default;
 };
 
-/// Bounds on what callers may use of one node.
+/// Limits on callers of one node.
 struct entry_limits {
   int connections = 512;
   /// Largest request body, in bytes.
   int64_t body_bytes = 1 << 20;
-  /// A request must have arrived whole within this time.
+  /// A request must have arrived completely within this time.
   absl::Duration read_deadline = absl::Seconds(10);
   bool operator==(const entry_limits&) const = default;
 };
 
-/// Everything that a process learns from its settings file.
+/// The contents of a settings file.
 struct settings {
   member_info self;
   std::string platform_address;
@@ -58,7 +58,7 @@
   node_options node;
 };
 
-/// Reads and checks a settings file. Fails with a `yaml_error`.
+/// Reads and validates a settings file. Fails with a `yaml_error`.
 boost::leaf::result<settings> read_settings(const std::string& file);
 
 }  // namespace spokesail
