--- a/src/apply.cc
+++ b/src/apply.cc
@@ -14,7 +14,8 @@
 using json = nlohmann::json;
 namespace leaf = boost::leaf;
 
-constexpr int patience = 8;
+/// Calls without a response after which an operation fails.
+constexpr int max_unanswered_calls = 8;
 
 std::string new_write_id(const std::string& operator_name) {
   std::random_device device;
@@ -23,13 +24,14 @@
 }
 
 leaf::result<object> read_object(platform_store& store, const object_key& key) {
-  for (int i = 0; i < patience; i++) {
+  for (int i = 0; i < max_unanswered_calls; i++) {
     const auto answer = store.call({call_kind::read, key, 0, {}});
     if (answer.status == call_status::ok) return answer.found;
     if (answer.status == call_status::not_found) return object{key, 0, {}, {}};
     absl::SleepFor(absl::Milliseconds(100 * (i + 1)));
   }
-  return leaf::new_error(apply_error{apply_error::reason::platform_away, {}});
+  return leaf::new_error(
+      apply_error{apply_error::reason::platform_unavailable, {}});
 }
 
 config_head head_of(const object& o) {
@@ -60,34 +62,38 @@
   const config_head before = head_of(head_object);
   if (base >= 0 && base != before.revision) {
     return leaf::new_error(
-        apply_error{apply_error::reason::wrong_base, before});
+        apply_error{apply_error::reason::stale_base, before});
   }
   const json content = next;
   const std::string digest = hex_digest(content.dump());
   object bundle;
   bundle.key = {kinds::bundle, digest};
   const json bundle_spec = {{"bundle", content}};
-  // The same bundle may be there already: its name is its content.
-  const auto bundle_write = settle_write(
-      store, make_write(bundle, bundle_spec.dump(), digest), patience);
+  // A bundle is named by the digest of its content, so an existing one with
+  // this name is identical and the write may be lost to it.
+  const auto bundle_write =
+      complete_write(store, make_write(bundle, bundle_spec.dump(), digest),
+                     max_unanswered_calls);
   if (!is_finished(bundle_write)) {
-    return leaf::new_error(apply_error{apply_error::reason::platform_away, {}});
+    return leaf::new_error(
+        apply_error{apply_error::reason::platform_unavailable, {}});
   }
   config_head head;
   head.revision = before.revision + 1;
   head.digest = digest;
   head.operator_name = operator_name;
   head.accepted_at = absl::FormatTime(absl::Now(), absl::UTCTimeZone());
-  const auto write = settle_write(
+  const auto write = complete_write(
       store,
       make_write(head_object, json(head).dump(), new_write_id(operator_name)),
-      patience);
+      max_unanswered_calls);
   if (write.state == write_state::applied) return head;
   if (write.state == write_state::lost) {
     return leaf::new_error(
-        apply_error{apply_error::reason::lost_race, head_of(write.found)});
+        apply_error{apply_error::reason::conflict, head_of(write.found)});
   }
-  return leaf::new_error(apply_error{apply_error::reason::platform_away, {}});
+  return leaf::new_error(
+      apply_error{apply_error::reason::platform_unavailable, {}});
 }
 
 void write_audit(platform_store& store, const std::string& event,
@@ -100,9 +106,9 @@
   object base;
   base.key = {kinds::audit,
               absl::StrCat(absl::ToUnixMicros(absl::Now()), "-operator")};
-  settle_write(store,
-               make_write(base, spec.dump(), new_write_id(operator_name)),
-               patience);
+  complete_write(store,
+                 make_write(base, spec.dump(), new_write_id(operator_name)),
+                 max_unanswered_calls);
 }
 
 }  // namespace spokesail
--- a/src/apply.h
+++ b/src/apply.h
@@ -1,4 +1,4 @@
-// What operators do through the platform: apply, drain, read back.
+// Operators' changes to the configuration in the platform.
 #pragma once
 
 #include <boost/leaf.hpp>
@@ -11,10 +11,10 @@
 
 /// Why an operator's change did not take effect.
 struct apply_error {
-  enum class reason { platform_away, lost_race, wrong_base };
-  reason why = reason::platform_away;
-  /// The head that is in the platform now, when it is known.
-  config_head winner;
+  enum class reason { platform_unavailable, conflict, stale_base };
+  reason why = reason::platform_unavailable;
+  /// The head that is in the platform now, if known.
+  config_head current_head;
 };
 
 /// The accepted configuration and its head; revision 0 if there is none yet.
@@ -27,9 +27,9 @@
 /// Reads the accepted configuration. Fails with an `apply_error`.
 boost::leaf::result<accepted_config> read_accepted(platform_store& store);
 
-/// Makes `next` the accepted configuration, on top of revision `base` (-1 for
-/// whichever is the newest). The bundle is written first, then the head moves;
-/// that is acceptance. Fails with an `apply_error`.
+/// Makes `next` the accepted configuration, based on revision `base` (-1 for
+/// the newest). The bundle is written first; the configuration is accepted once
+/// the head refers to it. Fails with an `apply_error`.
 boost::leaf::result<config_head> accept_config(
     platform_store& store, const configuration& next, int64_t base,
     const std::string& operator_name);
--- a/src/backend.cc
+++ b/src/backend.cc
@@ -1,4 +1,4 @@
-// Model engines and plain services over HTTP.
+// HTTP client for model engines and plain services.
 #include "spokesail/backend.h"
 
 #include <absl/strings/str_cat.h>
@@ -15,8 +15,8 @@
 
 constexpr int status_ok = 200;
 constexpr int status_accepted = 202;
-constexpr absl::Duration connect_limit = absl::Milliseconds(500);
-constexpr size_t kept_per_address = 8;
+constexpr absl::Duration connect_timeout = absl::Milliseconds(500);
+constexpr size_t max_idle_per_address = 8;
 
 host_phase parse_phase(const std::string& name) {
   if (name == "ready") return host_phase::ready;
@@ -41,11 +41,11 @@
   return out;
 }
 
-/// Cancels by closing the connection's socket.
+/// Cancels an exchange by closing its connection.
 class client_handle final : public exchange_handle {
  public:
-  explicit client_handle(std::shared_ptr<httplib::Client> used)
-      : client(std::move(used)) {}
+  explicit client_handle(std::shared_ptr<httplib::Client> handle_client)
+      : client(std::move(handle_client)) {}
   void cancel() override {
     this->cancelled = true;
     this->client->stop();
@@ -56,10 +56,10 @@
   std::shared_ptr<httplib::Client> client;
 };
 
-/// Connections that are idle, by address.
+/// Idle connections by address.
 class connection_cache {
  public:
-  std::shared_ptr<httplib::Client> take(const std::string& address) {
+  std::shared_ptr<httplib::Client> acquire(const std::string& address) {
     absl::MutexLock lock(&this->mutex);
     auto& idle = this->by_address[address];
     if (idle.empty()) return nullptr;
@@ -68,11 +68,11 @@
     return client;
   }
 
-  void give_back(const std::string& address,
-                 std::shared_ptr<httplib::Client> client) {
+  void release(const std::string& address,
+               std::shared_ptr<httplib::Client> client) {
     absl::MutexLock lock(&this->mutex);
     auto& idle = this->by_address[address];
-    if (idle.size() < kept_per_address) idle.push_back(std::move(client));
+    if (idle.size() < max_idle_per_address) idle.push_back(std::move(client));
   }
 
  private:
@@ -88,7 +88,7 @@
     auto client = this->probe_client(address, deadline);
     const auto result = client->Get(service ? "/healthz" : "/engine/report");
     if (!result || result->status != status_ok) return {};
-    this->probes.give_back(address, std::move(client));
+    this->probe_connections.release(address, std::move(client));
     if (!service) return parse_report(result->body);
     probe_result out;
     out.reachable = true;
@@ -118,10 +118,11 @@
       const std::function<void(std::shared_ptr<exchange_handle>)>& started)
       override {
     std::shared_ptr<httplib::Client> client;
-    if (request.reuse_connection) client = this->calls.take(request.address);
+    if (request.reuse_connection)
+      client = this->exchange_connections.acquire(request.address);
     if (!client) {
-      client = detail::make_client(request.address, connect_limit,
-                                   request.idle_limit);
+      client = detail::make_client(request.address, connect_timeout,
+                                   request.idle_timeout);
     }
     auto handle = std::make_shared<client_handle>(client);
     started(handle);
@@ -134,18 +135,18 @@
     }
     out.headers.emplace(detail::attempt_header, request.attempt);
     bool refused = false;
-    bool crossed = false;
-    bool bounded = false;
+    bool mismatched = false;
+    bool delimited = false;
     out.response_handler = [&](const httplib::Response& head) {
       refused = head.has_header(detail::not_started_header) ||
                 head.get_header_value(detail::outcome_header) == "refused";
-      crossed = !refused && head.get_header_value(detail::attempt_header) !=
-                                request.attempt;
-      bounded = head.has_header("Content-Length") ||
-                head.get_header_value("Transfer-Encoding") == "chunked";
+      mismatched = !refused && head.get_header_value(detail::attempt_header) !=
+                                   request.attempt;
+      delimited = head.has_header("Content-Length") ||
+                  head.get_header_value("Transfer-Encoding") == "chunked";
       const bool failed =
           head.get_header_value(detail::outcome_header) == "failed";
-      if (refused || crossed || !bounded || failed) return false;
+      if (refused || mismatched || !delimited || failed) return false;
       return sink.on_head({head.status, head.get_header_value("Content-Type")});
     };
     out.content_receiver = [&](const char* data, size_t size, uint64_t,
@@ -157,20 +158,20 @@
           detail::never_sent(result.error()) && !handle->cancelled;
       return {unsent ? attempt_end::not_started : attempt_end::broken, unsent};
     }
-    if (handle->cancelled || crossed) return {attempt_end::broken, false};
-    this->calls.give_back(request.address, std::move(client));
+    if (handle->cancelled || mismatched) return {attempt_end::broken, false};
+    this->exchange_connections.release(request.address, std::move(client));
     return {attempt_end::whole, false};
   }
 
  private:
   std::shared_ptr<httplib::Client> probe_client(const std::string& address,
                                                 absl::Duration deadline) {
-    if (auto client = this->probes.take(address)) return client;
+    if (auto client = this->probe_connections.acquire(address)) return client;
     return detail::make_client(address, deadline, deadline);
   }
 
-  connection_cache probes;
-  connection_cache calls;
+  connection_cache probe_connections;
+  connection_cache exchange_connections;
 };
 
 }  // namespace
--- a/src/caller-session.cc
+++ b/src/caller-session.cc
@@ -1,4 +1,4 @@
-// Reading of callers' requests, and the end of their connections.
+// Reads callers' requests and closes their connections.
 #include "caller-session.h"
 
 #include <absl/strings/match.h>
@@ -20,14 +20,15 @@
 using detail::use_tuple;
 using net::ip::tcp;
 
-/// A caller whose request was refused unread gets this long to read why.
+/// How long a connection stays open after its last response, so that the caller
+/// can read it.
 constexpr absl::Duration linger_time = absl::Milliseconds(500);
 
-/// A whole body must come within this many times the head's time.
-constexpr int body_time_factor = 10;
+/// The time limit for a whole request, as a multiple of that for its head.
+constexpr int body_timeout_factor = 10;
 
-/// The status for an error of reading a request; 0 for a connection that
-/// simply ended.
+/// The HTTP status for an error while reading a request; 0 if the connection
+/// was closed.
 unsigned status_of(const boost::system::error_code& error) {
   if (error == http::error::header_limit) return 431;
   if (error == http::error::body_limit) return 413;
@@ -41,8 +42,10 @@
              : 0;
 }
 
-/// Whether the request's framing can be understood in one way only.
-bool sound_framing(const http::request_parser<http::string_body>& parser) {
+/// Whether the length of the request's body is unambiguous. Otherwise another
+/// HTTP implementation could see a different request (request smuggling).
+bool has_unambiguous_length(
+    const http::request_parser<http::string_body>& parser) {
   const auto& head = parser.get();
   const auto coding = head.find(http::field::transfer_encoding);
   if (coding != head.end()) {
@@ -66,10 +69,11 @@
 caller_session::~caller_session() { this->node.sessions.erase(this); }
 
 void caller_session::check_limit(absl::Time now) {
-  if (now >= this->unread_limit) this->give_up_caller();
+  if (now >= this->write_deadline) this->drop_slow_caller();
   if (this->phase == session_phase::serving) return;
   const bool leave = this->phase == session_phase::idle && this->node.closing();
-  if (now >= this->limit || leave) detail::close_ignoring_errors(this->socket);
+  if (now >= this->phase_deadline || leave)
+    detail::close_ignoring_errors(this->socket);
 }
 
 void caller_session::break_off() {
@@ -84,7 +88,7 @@
       [self = this->shared_from_this()](boost::system::error_code error) {
         if (error || self->phase != session_phase::serving) return;
         boost::system::error_code failed;
-        // Bytes that are there are a next request; the caller stays.
+        // Available bytes are the next request: the caller is still connected.
         if (self->socket.available(failed) > 0 && !failed) return;
         self->gone = true;
         if (self->current != nullptr) {
@@ -93,14 +97,14 @@
       });
 }
 
-void caller_session::expect_reading() {
+void caller_session::restart_write_deadline() {
   const caller_limits limits =
       this->node.routes ? this->node.routes->config().limits : caller_limits{};
-  this->unread_limit = this->node.now() + limits.idle_timeout;
+  this->write_deadline = this->node.now() + limits.idle_timeout;
 }
 
-void caller_session::give_up_caller() {
-  this->unread_limit = absl::InfiniteFuture();
+void caller_session::drop_slow_caller() {
+  this->write_deadline = absl::InfiniteFuture();
   this->gone = true;
   this->node.log.write(log_category::request, "caller_given_up",
                        {{"why", "does not read"},
@@ -117,40 +121,40 @@
   http::response_serializer<http::string_body> rest(response);
   boost::system::error_code failed;
   while (!rest.is_done() && !failed) {
-    this->expect_reading();
+    this->restart_write_deadline();
     auto [error, size] =
         co_await http::async_write_some(this->socket, rest, use_tuple);
     failed = error;
   }
-  co_return this->end_write(failed);
+  co_return this->finish_write(failed);
 }
 
 net::awaitable<bool> caller_session::write(const std::string& bytes) {
   net::const_buffer rest = net::buffer(bytes);
   boost::system::error_code failed;
   while (rest.size() > 0 && !failed) {
-    this->expect_reading();
+    this->restart_write_deadline();
     auto [error, size] =
         co_await this->socket.async_write_some(rest, use_tuple);
     rest += size;
     failed = error;
   }
-  co_return this->end_write(failed);
+  co_return this->finish_write(failed);
 }
 
-bool caller_session::end_write(const boost::system::error_code& error) {
-  this->unread_limit = absl::InfiniteFuture();
+bool caller_session::finish_write(const boost::system::error_code& error) {
+  this->write_deadline = absl::InfiniteFuture();
   if (error) this->gone = true;
   return !error;
 }
 
-net::awaitable<void> caller_session::close_after_answer() {
+net::awaitable<void> caller_session::close_gracefully() {
   this->phase = session_phase::closing;
-  this->limit = this->node.now() + linger_time;
+  this->phase_deadline = this->node.now() + linger_time;
   boost::system::error_code ignored;
   this->socket.shutdown(tcp::socket::shutdown_send, ignored);
-  // Read until the caller closes, so that its last bytes cause no reset that
-  // takes the answer away from it.
+  // Read until the caller closes. Closing with unread data would send a reset,
+  // which can discard the response before the caller has read it.
   std::array<char, 4096> sink;
   for (;;) {
     auto [error, size] =
@@ -169,7 +173,7 @@
   this->node.log.write(log_category::request, "request_unreadable",
                        {{"status", std::to_string(status)}, {"why", reason}},
                        this->node.now());
-  if (co_await this->write(response)) co_await this->close_after_answer();
+  if (co_await this->write(response)) co_await this->close_gracefully();
 }
 
 net::awaitable<bool> caller_session::wait_for_request() {
@@ -187,7 +191,7 @@
     if (status != 0) co_await this->refuse(status, "request head not accepted");
     co_return false;
   }
-  if (!sound_framing(parser)) {
+  if (!has_unambiguous_length(parser)) {
     co_await this->refuse(400, "ambiguous request length");
     co_return false;
   }
@@ -201,13 +205,14 @@
     co_await this->refuse(503, "node holds too much");
     co_return false;
   }
-  const auto stated = static_cast<size_t>(parser.content_length().value_or(0));
-  held.set(stated);
+  const auto declared =
+      static_cast<size_t>(parser.content_length().value_or(0));
+  held.set(declared);
   if (absl::EqualsIgnoreCase(std::string(parser.get()[http::field::expect]),
                              "100-continue")) {
-    http_response go_on(http::status::continue_, http_11);
+    http_response continue_response(http::status::continue_, http_11);
     auto [failed, sent] =
-        co_await http::async_write(this->socket, go_on, use_tuple);
+        co_await http::async_write(this->socket, continue_response, use_tuple);
     if (failed) co_return false;
   }
   boost::system::error_code failed;
@@ -215,7 +220,7 @@
     auto [error, size] = co_await http::async_read_some(
         this->socket, this->buffer, parser, use_tuple);
     failed = error;
-    held.set(std::max(stated, parser.get().body().size()));
+    held.set(std::max(declared, parser.get().body().size()));
   }
   if (!failed) co_return true;
   const unsigned status = status_of(failed);
@@ -231,15 +236,15 @@
   parser.body_limit(limits.body_bytes);
   parser.eager(true);
   this->phase = session_phase::idle;
-  this->limit = this->node.now() + limits.idle_timeout;
-  const bool begun = co_await this->wait_for_request();
-  if (!begun) co_return false;
+  this->phase_deadline = this->node.now() + limits.idle_timeout;
+  const bool has_request = co_await this->wait_for_request();
+  if (!has_request) co_return false;
   this->phase = session_phase::reading;
   const absl::Time arrived = this->node.now();
-  this->limit = arrived + limits.head_timeout;
+  this->phase_deadline = arrived + limits.head_timeout;
   const bool head_read = co_await this->read_head(parser);
   if (!head_read) co_return false;
-  this->limit = arrived + body_time_factor * limits.head_timeout;
+  this->phase_deadline = arrived + body_timeout_factor * limits.head_timeout;
   byte_charge held(this->node.held);
   const bool body_read = co_await this->read_body(parser, held);
   if (!body_read) co_return false;
@@ -248,10 +253,10 @@
   this->phase = session_phase::serving;
   if (this->buffer.size() == 0) this->watch_caller();
   request_handler run(this->node, *this, parser.release(), arrived, keep_alive);
-  const bool kept = co_await run.run();
+  const bool reusable = co_await run.run();
   boost::system::error_code ignored;
   this->socket.cancel(ignored);
-  co_return kept && !this->gone;
+  co_return reusable && !this->gone;
 }
 
 net::awaitable<void> caller_session::run() {
@@ -260,7 +265,7 @@
   }
   if (!this->gone && this->phase == session_phase::serving &&
       this->socket.is_open()) {
-    co_await this->close_after_answer();
+    co_await this->close_gracefully();
   }
   detail::close_ignoring_errors(this->socket);
 }
--- a/src/caller-session.h
+++ b/src/caller-session.h
@@ -1,4 +1,4 @@
-// One connection of a caller.
+// A connection from a caller.
 #pragma once
 
 #include <absl/time/time.h>
@@ -15,10 +15,11 @@
 
 namespace spokesail {
 
-/// What a connection waits for.
+/// Phase of a connection: waiting for a request, reading one, serving it, or
+/// waiting for the caller to close.
 enum class session_phase { idle, reading, serving, closing };
 
-/// Reads a caller's requests and has each of them served, one after the other.
+/// Reads the requests of one connection and serves them one after the other.
 class caller_session : public std::enable_shared_from_this<caller_session> {
  public:
   caller_session(node_context& node, boost::asio::ip::tcp::socket socket);
@@ -29,15 +30,16 @@
   /// Serves the connection until it ends.
   boost::asio::awaitable<void> run();
 
-  /// Closes the connection if what it waits for is overdue.
+  /// Closes the connection if its phase or a write is overdue.
   void check_limit(absl::Time now);
 
-  /// Sends a whole answer. False if the caller is gone.
+  /// Sends a complete response. False if the caller has disconnected.
   boost::asio::awaitable<bool> write(http_response& response);
-  /// Sends a part of an answer. False if the caller is gone.
+  /// Sends a part of a response. False if the caller has disconnected.
   boost::asio::awaitable<bool> write(const std::string& bytes);
 
-  /// Ends the connection such that an answer on its way cannot look whole.
+  /// Resets the connection, so that the caller cannot take a truncated response
+  /// for a complete one.
   void break_off();
 
   node_context& node;
@@ -52,35 +54,36 @@
   using request_parser =
       boost::beast::http::request_parser<boost::beast::http::string_body>;
 
-  /// Reads and serves one request. Returns whether the connection may be used
-  /// on.
+  /// Reads and serves one request. Returns whether the connection can be
+  /// reused.
   boost::asio::awaitable<bool> serve_one();
-  /// Waits for the first byte of a request. False if the caller is gone.
+  /// Waits for the first byte of a request. False if the caller disconnected.
   boost::asio::awaitable<bool> wait_for_request();
-  /// Reads a head, or answers why not. False if there is none.
+  /// Reads a request's head. False if it failed; an invalid head is refused.
   boost::asio::awaitable<bool> read_head(request_parser& parser);
-  /// Reads a body, or answers why not. False if it is not whole.
+  /// Reads a request's body. False if it failed; an invalid body is refused.
   boost::asio::awaitable<bool> read_body(request_parser& parser,
                                          byte_charge& held);
-  /// Answers that the request was not accepted, and ends the connection.
+  /// Sends a refusal and closes the connection.
   boost::asio::awaitable<void> refuse(unsigned status, const char* reason);
-  /// Lets the caller read what was sent before the connection is closed.
-  boost::asio::awaitable<void> close_after_answer();
-  /// Notices a caller that goes while its request is served.
+  /// Gives the caller time to read the response, then closes the connection.
+  boost::asio::awaitable<void> close_gracefully();
+  /// Aborts the current exchange if the caller disconnects while its request is
+  /// being served.
   void watch_caller();
-  /// Begins the time within which a caller has to read on.
-  void expect_reading();
-  /// Takes note of how a write ended. False if the caller is gone.
-  bool end_write(const boost::system::error_code& error);
-  /// Ends the connection of a caller that does not read its answer.
-  void give_up_caller();
+  /// Restarts the time within which the caller has to read more.
+  void restart_write_deadline();
+  /// Records how a write ended. False if the caller has disconnected.
+  bool finish_write(const boost::system::error_code& error);
+  /// Resets the connection of a caller that does not read the response.
+  void drop_slow_caller();
 
-  /// Bytes that were read beyond the last request.
+  /// Bytes that were read past the end of the last request.
   boost::beast::flat_buffer buffer;
-  /// When what the connection waits for is overdue.
-  absl::Time limit = absl::InfiniteFuture();
-  /// When the caller has to have read some of what is being sent to it.
-  absl::Time unread_limit = absl::InfiniteFuture();
+  /// When the current phase is overdue.
+  absl::Time phase_deadline = absl::InfiniteFuture();
+  /// Until when the caller has to read some of the data being sent.
+  absl::Time write_deadline = absl::InfiniteFuture();
 };
 
 }  // namespace spokesail
--- a/src/clock.h
+++ b/src/clock.h
@@ -1,12 +1,12 @@
-// The clock of the daemon.
+// The daemon's clock.
 #pragma once
 
 #include <absl/time/time.h>
 
 namespace spokesail {
 
-/// Time since the machine started, as a time since the Unix epoch. It runs on
-/// while the machine is suspended and is never set.
+/// Time since the machine booted, as a time since the Unix epoch. The clock
+/// keeps running while the machine is suspended and is never adjusted.
 absl::Time boot_now();
 
 }  // namespace spokesail
--- a/src/daemon.cc
+++ b/src/daemon.cc
@@ -30,10 +30,10 @@
 constexpr absl::Duration tick_period = absl::Milliseconds(50);
 constexpr size_t platform_threads = 4;
 constexpr size_t probe_threads = 64;
-constexpr absl::Duration watch_retry = absl::Milliseconds(300);
-constexpr int audit_tries = 5;
+constexpr absl::Duration watch_retry_delay = absl::Milliseconds(300);
+constexpr int max_audit_attempts = 5;
 
-/// The kinds whose objects a node keeps, or its controller needs.
+/// Kinds of objects that a node or its controller needs.
 const std::vector<std::string> watched_kinds = {
     kinds::config, kinds::host, kinds::placement, kinds::drain, kinds::lease};
 
@@ -41,12 +41,12 @@
 
 void on_stop_signal(int) { stop_signals = stop_signals + 1; }
 
-uint64_t random_boot() {
+uint64_t random_boot_id() {
   std::random_device device;
   return (static_cast<uint64_t>(device()) << 32) | device();
 }
 
-/// Runs the reducer on one thread and its effects on others.
+/// Runs the reducer on one thread and executes its effects on others.
 class daemon {
  public:
   explicit daemon(const settings& s)
@@ -118,8 +118,8 @@
       }
       due.swap(this->queue);
     }
-    if (stop_signals > this->seen_signals) {
-      this->seen_signals = stop_signals;
+    if (stop_signals > this->handled_signals) {
+      this->handled_signals = stop_signals;
       due.push_back({boot_now(), stop_event{}});
     }
     if (boot_now() >= this->next_tick) {
@@ -131,20 +131,21 @@
       auto result = reduce(std::move(this->state), e);
       this->state = std::move(result.state);
       for (auto& effect : result.effects) {
-        std::visit([this](auto& one) { this->carry_out(one); }, effect);
+        std::visit([this](auto& one) { this->execute(one); }, effect);
       }
     }
   }
 
-  void carry_out(const watch_effect& e) {
+  void execute(const watch_effect& e) {
     this->watching = e.enabled;
     if (!e.enabled || !this->watch_threads.empty()) return;
     for (const auto& kind : watched_kinds) {
-      this->watch_threads.emplace_back([this, kind] { this->follow(kind); });
+      this->watch_threads.emplace_back(
+          [this, kind] { this->watch_kind(kind); });
     }
   }
 
-  void carry_out(const poll_effect&) {
+  void execute(const poll_effect&) {
     this->platform_pool.add([this] {
       for (const auto& kind : watched_kinds) {
         if (kind != kinds::lease) this->list(kind);
@@ -153,13 +154,13 @@
     });
   }
 
-  void carry_out(const platform_effect& e) {
+  void execute(const platform_effect& e) {
     this->platform_pool.add([this, e] {
       this->post(platform_event{e.owner, this->store->call(e.call)});
     });
   }
 
-  void carry_out(const probe_effect& e) {
+  void execute(const probe_effect& e) {
     this->probe_pool.add([this, e] {
       const absl::Time sent = boot_now();
       const auto found = this->backend->probe(e.address, e.service,
@@ -169,9 +170,9 @@
     });
   }
 
-  void carry_out(const order_effect& e) {
+  void execute(const order_effect& e) {
     this->probe_pool.add([this, e] {
-      // The lease may have lapsed while this waited for a thread.
+      // The lease may have expired while this job waited for a thread.
       const absl::Duration left = e.content.not_after - boot_now();
       order_status status = order_status::unreachable;
       if (left > absl::ZeroDuration()) {
@@ -181,54 +182,53 @@
     });
   }
 
-  void carry_out(const heartbeat_effect& e) {
+  void execute(const heartbeat_effect& e) {
     this->link->send_heartbeat(e.address, e.content);
   }
-  void carry_out(const heartbeat_ack_effect& e) {
+  void execute(const heartbeat_ack_effect& e) {
     this->link->reply_heartbeat(e.token, e.content);
   }
-  void carry_out(const push_effect& e) {
-    this->link->push(e.address, e.objects);
-  }
-  void carry_out(const pull_effect& e) { this->link->pull(e.address, e.known); }
-  void carry_out(const pull_reply_effect& e) {
+  void execute(const push_effect& e) { this->link->push(e.address, e.objects); }
+  void execute(const pull_effect& e) { this->link->pull(e.address, e.known); }
+  void execute(const pull_reply_effect& e) {
     this->link->reply_pull(e.token, e.objects);
   }
-  void carry_out(const start_effect& e) { this->entry->start(e.content); }
-  void carry_out(const cancel_effect& e) { this->entry->cancel(e.attempt); }
-  void carry_out(const finish_effect& e) {
+  void execute(const start_effect& e) { this->entry->start(e.content); }
+  void execute(const cancel_effect& e) { this->entry->cancel(e.attempt); }
+  void execute(const finish_effect& e) {
     this->entry->finish(e.request, e.result);
   }
-  void carry_out(const status_effect& e) {
+  void execute(const status_effect& e) {
     this->entry->answer_status(e.token, e.text);
   }
-  void carry_out(const gauges_effect& e) {
+  void execute(const gauges_effect& e) {
     this->counters.set(e);
     this->entry->set_ready(e.ready);
   }
-  void carry_out(const exit_effect&) { this->done = true; }
+  void execute(const exit_effect&) { this->done = true; }
 
-  void carry_out(const log_effect& e) {
+  void execute(const log_effect& e) {
     log_line(e.name, e.fields);
     if (!e.audited) return;
     json spec = {{"event", e.name},
                  {"node", this->config.self.name},
                  {"at", absl::FormatTime(absl::Now(), absl::UTCTimeZone())}};
     for (const auto& field : e.fields) spec[field.key] = field.value;
-    // Names sort by time, so that the trail lists in order.
+    // The name starts with the time, so that the audit trail is listed in
+    // order.
     const std::string name =
         absl::StrCat(absl::ToUnixMicros(absl::Now()), "-",
                      this->config.self.name, "-", ++this->audit_count);
     this->platform_pool.add([this, name, spec] {
       object base;
       base.key = {kinds::audit, name};
-      settle_write(*this->store, make_write(base, spec.dump(), name),
-                   audit_tries);
+      complete_write(*this->store, make_write(base, spec.dump(), name),
+                     max_audit_attempts);
     });
   }
 
-  /// Lists a kind and hands it to the reducer. Gives the list's version, or
-  /// -1 if the platform is away.
+  /// Lists a kind and posts the list to the reducer. Returns the list's
+  /// version, or -1 if the platform is unavailable.
   int64_t list(const std::string& kind) {
     return leaf::try_handle_all(
         [&]() -> leaf::result<int64_t> {
@@ -240,28 +240,29 @@
         [] { return int64_t{-1}; });
   }
 
-  /// Keeps one kind watched while the node is a watcher.
-  void follow(const std::string& kind) {
+  /// Watches one kind while watching is enabled, until the daemon stops.
+  void watch_kind(const std::string& kind) {
     int64_t version = -1;
     std::mt19937 random(std::random_device{}());
-    std::uniform_real_distribution<double> spread(0.5, 1.5);
+    std::uniform_real_distribution<double> jitter(0.5, 1.5);
     while (!this->done) {
       if (!this->watching) {
         version = -1;
-        absl::SleepFor(watch_retry);
+        absl::SleepFor(watch_retry_delay);
         continue;
       }
       if (version < 0) version = this->list(kind);
-      if (version >= 0) version = this->follow_from(kind, version);
-      // Watches that end together do not start together.
-      if (!this->done) absl::SleepFor(spread(random) * watch_retry);
+      if (version >= 0) version = this->watch_from(kind, version);
+      // Random delay, so that watches that ended together do not all restart at
+      // once.
+      if (!this->done) absl::SleepFor(jitter(random) * watch_retry_delay);
     }
   }
 
-  /// Watches until the watch ends. Gives the version to go on from, or -1 if
+  /// Runs one watch until it ends. Returns the version to resume from, or -1 if
   /// a new list is needed.
-  int64_t follow_from(const std::string& kind, int64_t version) {
-    const auto taken = [&](const object* o) {
+  int64_t watch_from(const std::string& kind, int64_t version) {
+    const auto on_change = [&](const object* o) {
       if (o) {
         version = std::max(version, o->version);
         this->post(object_event{*o});
@@ -270,7 +271,7 @@
     };
     return leaf::try_handle_all(
         [&]() -> leaf::result<int64_t> {
-          BOOST_LEAF_CHECK(this->store->watch(kind, version, taken));
+          BOOST_LEAF_CHECK(this->store->watch(kind, version, on_change));
           return version;
         },
         [&](platform_error e) {
@@ -279,29 +280,29 @@
         [] { return int64_t{-1}; });
   }
 
-  static node_options with_boot(node_options options) {
-    options.boot = random_boot();
+  static node_options with_new_boot_id(node_options options) {
+    options.boot = random_boot_id();
     options.seed = options.boot;
     return options;
   }
 
-  node_state start_state() {
-    this->config.node = with_boot(this->config.node);
-    node_state made = make_node(this->config.node, boot_now());
+  node_state initial_state() {
+    this->config.node = with_new_boot_id(this->config.node);
+    node_state initial = make_node(this->config.node, boot_now());
     for (const auto& peer : this->config.peers) {
-      made.members.add_address(peer.hall, peer.address);
+      initial.members.add_address(peer.hall, peer.address);
     }
-    return made;
+    return initial;
   }
 
   settings config;
   metrics counters;
   std::unique_ptr<backend_client> backend;
   std::unique_ptr<platform_store> store;
-  node_state state = this->start_state();
+  node_state state = this->initial_state();
   std::atomic<bool> done = false;
   std::atomic<bool> watching = false;
-  int seen_signals = 0;
+  int handled_signals = 0;
   uint64_t audit_count = 0;
   absl::Time next_tick = absl::InfinitePast();
   absl::Mutex mutex;
--- a/src/end-to-end.cc
+++ b/src/end-to-end.cc
@@ -12,15 +12,15 @@
 
 namespace http = boost::beast::http;
 
-/// Whether a header, by its name in lower case, is for one connection only.
-bool hop_by_hop(const std::string& name) {
+/// Whether a header applies to one connection only. `name` is in lower case.
+bool is_hop_by_hop(const std::string& name) {
   static const std::set<std::string> names = {
       "connection", "keep-alive",        "proxy-connection", "te",
       "trailer",    "transfer-encoding", "upgrade",          "expect"};
   return names.count(name) != 0;
 }
 
-std::string lower(std::string_view text) {
+std::string to_lower(std::string_view text) {
   std::string out(text);
   std::transform(out.begin(), out.end(), out.begin(),
                  [](unsigned char c) { return std::tolower(c); });
@@ -31,16 +31,16 @@
 
 void copy_end_to_end(const http_fields& from, http_fields& to) {
   const auto named = from[http::field::connection];
-  const auto connection = lower({named.data(), named.size()});
-  std::set<std::string> this_hop;
+  const auto connection = to_lower({named.data(), named.size()});
+  std::set<std::string> connection_options;
   for (const auto part : absl::StrSplit(connection, ',')) {
-    this_hop.emplace(absl::StripAsciiWhitespace(part));
+    connection_options.emplace(absl::StripAsciiWhitespace(part));
   }
   for (const auto& field : from) {
     const std::string name =
-        lower({field.name_string().data(), field.name_string().size()});
-    if (hop_by_hop(name) || name == "content-length") continue;
-    if (this_hop.count(name) != 0) continue;
+        to_lower({field.name_string().data(), field.name_string().size()});
+    if (is_hop_by_hop(name) || name == "content-length") continue;
+    if (connection_options.count(name) != 0) continue;
     to.insert(field.name_string(), field.value());
   }
 }
--- a/src/entry.cc
+++ b/src/entry.cc
@@ -25,30 +25,30 @@
 constexpr int status_bad_request = 400;
 constexpr int status_unavailable = 503;
 
-/// How long a stream waits for the next bytes before it looks whether the
-/// caller is still there.
+/// How long a stream waits for more bytes before it checks whether the caller
+/// is still connected.
 constexpr absl::Duration stream_poll = absl::Milliseconds(250);
 
-/// How long an operator's question may wait for the reducer.
-constexpr absl::Duration status_limit = absl::Seconds(2);
+/// How long a status query waits for the reducer.
+constexpr absl::Duration status_timeout = absl::Seconds(2);
 
-/// Characters of the prompt that stand for its prefix.
-constexpr size_t prefix_length = 256;
+/// Characters at the start of the prompt that are hashed as its prefix.
+constexpr size_t prefix_chars = 256;
 
-/// Tokens that cost as much as one plain call.
-constexpr double tokens_per_cost = 64;
+/// Tokens that add as much to a request's cost as one plain call.
+constexpr double tokens_per_cost_unit = 64;
 
-constexpr int64_t longest_deadline_ms = 24LL * 3600 * 1000;
+constexpr int64_t max_deadline_ms = 24LL * 3600 * 1000;
 
-/// Headers that belong to one connection and are not passed on.
-bool passed_on(const std::string& name) {
-  static const std::set<std::string> own = {
+/// Whether a header is forwarded. Those of one connection are not.
+bool is_forwarded_header(const std::string& name) {
+  static const std::set<std::string> hop_headers = {
       "host",       "connection",      "content-length", "transfer-encoding",
       "keep-alive", "remote_addr",     "remote_port",    "local_addr",
       "local_port", "accept-encoding", "expect"};
   std::string lower = name;
   for (char& c : lower) c = static_cast<char>(std::tolower(c));
-  return own.count(lower) == 0;
+  return hop_headers.count(lower) == 0;
 }
 
 const char* outcome_name(outcome_kind kind) {
@@ -84,7 +84,7 @@
   res.set_content(error_body(result).dump(), json_type);
 }
 
-/// Passes the parts of one attempt's answer on into its call.
+/// Writes the response of one attempt into its call as it arrives.
 class call_sink final : public exchange_sink {
  public:
   call_sink(call& into, std::string attempt_id, metrics& counters)
@@ -231,11 +231,12 @@
     const uint64_t token = this->next_id();
     this->post(status_event{token});
     absl::MutexLock lock(&this->mutex);
-    const auto there = [this, token]()
-                           ABSL_EXCLUSIVE_LOCKS_REQUIRED(this->mutex) {
-                             return this->statuses.count(token) != 0;
-                           };
-    if (!this->mutex.AwaitWithTimeout(absl::Condition(&there), status_limit)) {
+    const auto replied = [this, token]()
+                             ABSL_EXCLUSIVE_LOCKS_REQUIRED(this->mutex) {
+                               return this->statuses.count(token) != 0;
+                             };
+    if (!this->mutex.AwaitWithTimeout(absl::Condition(&replied),
+                                      status_timeout)) {
       res.status = status_unavailable;
       return;
     }
@@ -256,8 +257,9 @@
     write_error(result, res);
   }
 
-  /// Turns away what cannot be served; false if it did.
-  bool admissible(const httplib::Request& req, httplib::Response& res) {
+  /// Refuses a request over the connection limit or without a workspace.
+  /// Returns false if it did.
+  bool check_admissible(const httplib::Request& req, httplib::Response& res) {
     if (detail::connection_threads::beyond_limit()) {
       outcome result{outcome_kind::refused, status_unavailable, "connections",
                      "too many connections", absl::Seconds(1)};
@@ -275,7 +277,8 @@
     return true;
   }
 
-  /// Reads the headers that both kinds of request have; false if one is bad.
+  /// Reads the headers common to both kinds of request. Returns false if one is
+  /// invalid; the request has then been refused.
   bool read_headers(const httplib::Request& req, httplib::Response& res,
                     request_info& info, call& c) {
     info.workspace = req.get_header_value(detail::workspace_header);
@@ -285,7 +288,7 @@
     if (req.has_header(detail::deadline_header)) {
       const auto text = req.get_header_value(detail::deadline_header);
       if (!absl::SimpleAtoi(text, &deadline_ms) || deadline_ms <= 0 ||
-          deadline_ms > longest_deadline_ms) {
+          deadline_ms > max_deadline_ms) {
         this->refuse(res, status_bad_request, "bad_deadline",
                      "the deadline must be a number of milliseconds above 0");
         return false;
@@ -308,7 +311,7 @@
     if (repeatable == "yes") info.repeatable = true;
     c.forwarded = info.forwarded;
     for (const auto& [name, value] : req.headers) {
-      if (passed_on(name)) c.headers.emplace(name, value);
+      if (is_forwarded_header(name)) c.headers.emplace(name, value);
     }
     return true;
   }
@@ -323,8 +326,8 @@
     this->post(request_event{std::move(info)});
   }
 
-  void name_request(const httplib::Request& req, const call& c,
-                    httplib::Response& res) {
+  void set_request_headers(const httplib::Request& req, const call& c,
+                           httplib::Response& res) {
     res.set_header(detail::request_header,
                    absl::StrCat(this->config.self.name, "-",
                                 absl::Hex(this->config.node.boot), "-", c.id));
@@ -335,13 +338,12 @@
   }
 
   void serve_completion(const httplib::Request& req, httplib::Response& res) {
-    if (!this->admissible(req, res)) return;
+    if (!this->check_admissible(req, res)) return;
     json body = json::parse(req.body, nullptr, false);
-    const bool shaped = body.is_object() && body.contains("model") &&
-                        body["model"].is_string() &&
-                        body.contains("messages") &&
-                        body["messages"].is_array();
-    if (!shaped) {
+    const bool valid = body.is_object() && body.contains("model") &&
+                       body["model"].is_string() && body.contains("messages") &&
+                       body["messages"].is_array();
+    if (!valid) {
       this->refuse(res, status_bad_request, "bad_body",
                    "the body must be a JSON object with model and messages");
       return;
@@ -359,9 +361,9 @@
     c->model = info.target;
     if (!this->read_headers(req, res, info, *c)) return;
     const std::string prompt = body["messages"].dump();
-    info.prefix = stable_hash(prompt.substr(0, prefix_length));
+    info.prefix = stable_hash(prompt.substr(0, prefix_chars));
     if (body.contains("max_tokens") && body["max_tokens"].is_number()) {
-      info.cost = 1 + body["max_tokens"].get<double>() / tokens_per_cost;
+      info.cost = 1 + body["max_tokens"].get<double>() / tokens_per_cost_unit;
     }
     if (info.forwarded && body.contains("resume")) {
       c->resume_from({body["resume"].value("text", ""),
@@ -370,7 +372,7 @@
     body["stream"] = true;
     c->body = body.dump();
     this->admit(info, c);
-    this->name_request(req, *c, res);
+    this->set_request_headers(req, *c, res);
     const auto ended = c->wait_for_output();
     if (!ended ||
         (c->streamed && ended->kind == outcome_kind::answered && c->begun())) {
@@ -383,7 +385,7 @@
     }
     res.set_header(detail::outcome_header, "answered");
     if (c->begun()) {
-      res.set_content(this->whole_completion(*c).dump(), json_type);
+      res.set_content(this->completion_body(*c).dump(), json_type);
       return;
     }
     const auto head = c->answer_head();
@@ -391,7 +393,7 @@
     res.set_content(c->plain_body(), head.content_type);
   }
 
-  json whole_completion(const call& c) const {
+  json completion_body(const call& c) const {
     const partial_response answer = c.received_so_far();
     json message = {{"role", "assistant"}, {"content", answer.text}};
     json choice = {{"index", 0},
@@ -407,23 +409,23 @@
     res.set_header("Cache-Control", "no-store");
     res.set_chunked_content_provider(
         "text/event-stream", [this, c](size_t, httplib::DataSink& sink) {
-          return this->stream_some(c, sink);
+          return this->stream_next(c, sink);
         });
   }
 
-  bool stream_some(const call_ptr& c, httplib::DataSink& sink) {
+  bool stream_next(const call_ptr& c, httplib::DataSink& sink) {
     bool ended = false;
     std::string bytes = c->take(stream_poll, ended);
-    const bool there =
+    const bool connected =
         sink.is_writable() &&
         (bytes.empty() || sink.write(bytes.data(), bytes.size()));
-    if (!there) {
+    if (!connected) {
       this->post(caller_gone_event{c->id});
       return false;
     }
     if (!ended) return true;
     const auto result = c->result();
-    // Only a whole answer gets the end mark.
+    // Only a complete answer gets the end mark.
     const std::string last = result->kind == outcome_kind::answered
                                  ? sse_event("[DONE]")
                                  : sse_event(error_body(*result).dump());
@@ -433,7 +435,7 @@
   }
 
   void serve_service(const httplib::Request& req, httplib::Response& res) {
-    if (!this->admissible(req, res)) return;
+    if (!this->check_admissible(req, res)) return;
     auto c = std::make_shared<call>();
     c->arrived = boot_now();
     c->method = req.method;
@@ -450,7 +452,7 @@
     if (!this->read_headers(req, res, info, *c)) return;
     info.repeatable_stated = req.has_header(detail::repeatable_header);
     this->admit(info, c);
-    this->name_request(req, *c, res);
+    this->set_request_headers(req, *c, res);
     const auto ended = c->wait_for_output();
     if (ended->kind != outcome_kind::answered) {
       write_error(*ended, res);
@@ -483,10 +485,10 @@
       request.headers.emplace(detail::incarnation_header,
                               std::to_string(start.target.incarnation));
     }
-    const partial_response had = c.received_so_far();
-    if (c.model_call && had.tokens > 0) {
+    const partial_response received = c.received_so_far();
+    if (c.model_call && received.tokens > 0) {
       json body = json::parse(c.body, nullptr, false);
-      body["resume"] = {{"tokens", had.tokens}, {"text", had.text}};
+      body["resume"] = {{"tokens", received.tokens}, {"text", received.text}};
       request.body = body.dump();
     }
     return request;
--- a/src/entry.h
+++ b/src/entry.h
@@ -1,4 +1,4 @@
-// The HTTP side towards callers and operators.
+// HTTP server for callers and operators.
 #pragma once
 
 #include <functional>
@@ -13,16 +13,16 @@
 
 namespace spokesail {
 
-/// Accepts requests, turns them into events, and carries out what the reducer
-/// decides for each: attempts, cancellations and ends. Bytes of answers stay
-/// here and never pass the reducer.
+/// Accepts requests, posts them as events, and executes the reducer's
+/// decisions: attempts, cancellations and outcomes. The reducer never sees the
+/// bytes of responses.
 class entry_server {
  public:
   virtual ~entry_server() = default;
-  /// Listens until `stop`; false if the address cannot be had.
+  /// Listens until `stop`; false if the address cannot be bound.
   virtual bool listen() = 0;
   virtual void stop() = 0;
-  /// The server takes connections.
+  /// Whether the server accepts connections.
   virtual bool running() const = 0;
 
   virtual void start(const attempt_start& start) = 0;
@@ -32,7 +32,7 @@
   virtual void set_ready(bool ready) = 0;
 };
 
-/// Makes the server. `post` hands events to the reducer.
+/// Creates the server. `post` passes events to the reducer.
 std::unique_ptr<entry_server> make_entry_server(
     const settings& s, backend_client& backend, metrics& m,
     std::function<void(event_body)> post);
--- a/src/http-fetch.cc
+++ b/src/http-fetch.cc
@@ -1,4 +1,4 @@
-// Calls on kept connections, each with a deadline.
+// HTTP calls with deadlines over reused connections.
 #include "http-fetch.h"
 
 #include <absl/strings/numbers.h>
@@ -22,11 +22,12 @@
 using detail::socket_deadline;
 using detail::use_tuple;
 
-/// Largest answer that is read, in bytes: a page of the store's list and some.
-constexpr uint64_t largest_answer = 16 << 20;
+/// Largest response that is read, in bytes. It leaves room above one page of
+/// the store's lists.
+constexpr uint64_t max_response_bytes = 16 << 20;
 
-/// Kept connections to one address, which gets few calls.
-constexpr size_t most_kept = 4;
+/// Idle connections kept for one address. Each address gets few calls.
+constexpr size_t max_idle_per_address = 4;
 
 }  // namespace
 
@@ -56,11 +57,11 @@
   co_return failed;
 }
 
-http_fetcher::socket_ptr http_fetcher::take(const std::string& address) {
-  auto& kept = this->idle[address];
-  while (!kept.empty()) {
-    auto socket = kept.back().socket;
-    kept.pop_back();
+http_fetcher::socket_ptr http_fetcher::take_idle(const std::string& address) {
+  auto& available = this->idle[address];
+  while (!available.empty()) {
+    auto socket = available.back().socket;
+    available.pop_back();
     if (detail::is_open_and_idle(*socket)) return socket;
   }
   return nullptr;
@@ -68,13 +69,13 @@
 
 net::awaitable<fetch_result> http_fetcher::fetch(std::string address,
                                                  http_request request,
-                                                 absl::Duration limit) {
+                                                 absl::Duration timeout) {
   fetch_result out;
-  auto socket = this->take(address);
-  const bool fresh = socket == nullptr;
-  if (fresh) socket = std::make_shared<tcp::socket>(this->executor);
-  socket_deadline deadline(socket, limit);
-  if (fresh) {
+  auto socket = this->take_idle(address);
+  const bool is_new = socket == nullptr;
+  if (is_new) socket = std::make_shared<tcp::socket>(this->executor);
+  socket_deadline deadline(socket, timeout);
+  if (is_new) {
     const auto error = co_await connect_to(*socket, address);
     if (error) {
       out.error = error.message();
@@ -102,26 +103,28 @@
     co_return;
   }
   http::response_parser<http::string_body> parser;
-  parser.body_limit(largest_answer);
+  parser.body_limit(max_response_bytes);
   boost::beast::flat_buffer buffer;
   auto [read_error, read] =
       co_await http::async_read(*socket, buffer, parser, use_tuple);
   if (read_error) {
     out.error = read_error.message();
-    // What is kept may have died with this one, in silence.
+    // The idle connections to this address may be dead too, without an error so
+    // far.
     this->idle.erase(address);
     co_return;
   }
   out.status = fetch_status::ok;
   const bool keep = parser.get().keep_alive() && buffer.size() == 0;
   out.response = parser.release();
-  auto& kept = this->idle[address];
-  if (keep && kept.size() < most_kept) kept.push_back({socket, boot_now()});
+  auto& available = this->idle[address];
+  if (keep && available.size() < max_idle_per_address)
+    available.push_back({socket, boot_now()});
 }
 
 void http_fetcher::close_idle(absl::Duration age, absl::Time now) {
-  for (auto& [address, kept] : this->idle) {
-    std::erase_if(kept,
+  for (auto& [address, available] : this->idle) {
+    std::erase_if(available,
                   [&](const auto& item) { return now - item.since > age; });
   }
   std::erase_if(this->idle,
--- a/src/http-fetch.h
+++ b/src/http-fetch.h
@@ -1,4 +1,4 @@
-// HTTP calls with one whole answer on the event loop: store, orders, reports.
+// HTTP calls on the event loop, to the store and to backend servers.
 #pragma once
 
 #include <absl/time/time.h>
@@ -16,64 +16,66 @@
 
 namespace spokesail {
 
-/// Reads "A.B.C.D:PORT"; fails with an error code.
+/// Parses "A.B.C.D:PORT". Sets `error` if it is malformed.
 boost::asio::ip::tcp::endpoint parse_endpoint(const std::string& address,
                                               boost::system::error_code& error);
 
-/// Connects an unused socket to "A.B.C.D:PORT". Gives the error, if any.
+/// Connects an unused socket to "A.B.C.D:PORT". Returns the error, if any.
 boost::asio::awaitable<boost::system::error_code> connect_to(
     boost::asio::ip::tcp::socket& socket, const std::string& address);
 
-/// How far a call came.
+/// How far a call got.
 enum class fetch_status {
   ok,
-  /// No connection, so that no byte was sent.
+  /// No connection was made, so nothing was sent.
   not_sent,
-  /// Sent at least in part; no whole answer came.
+  /// Sent at least in part, but no complete response was received.
   no_answer
 };
 
-/// A call's end.
+/// The result of a call.
 struct fetch_result {
   fetch_status status = fetch_status::not_sent;
   http_response response;
-  /// Why there is no whole answer, for the log.
+  /// Why there is no complete response, for the log.
   std::string error;
 };
 
-/// Calls with kept connections. A connection on which an answer was lost is
-/// closed. A call that fails on a kept connection is not sent again.
+/// Makes HTTP calls over connections that are kept for reuse. A connection on
+/// which a response was lost is closed. A call that fails on a reused
+/// connection is not retried.
 class http_fetcher {
  public:
-  /// `agent` names this process to those it calls.
+  /// `agent` is sent as the `User-Agent` header.
   http_fetcher(boost::asio::any_io_executor executor, std::string agent)
       : executor(std::move(executor)), agent(std::move(agent)) {}
 
-  /// Sends one request and reads the whole answer, in `limit` all told.
+  /// Sends one request and reads the complete response. `timeout` covers the
+  /// whole call, including connecting.
   boost::asio::awaitable<fetch_result> fetch(std::string address,
                                              http_request request,
-                                             absl::Duration limit);
+                                             absl::Duration timeout);
 
-  /// Closes kept connections that have rested for `age`.
+  /// Closes connections that have been idle for longer than `age`.
   void close_idle(absl::Duration age, absl::Time now);
 
  private:
   using socket_ptr = std::shared_ptr<boost::asio::ip::tcp::socket>;
-  struct kept {
+  struct idle_connection {
     socket_ptr socket;
     absl::Time since;
   };
-  /// A kept connection that may be used; null if there is none.
-  socket_ptr take(const std::string& address);
-  /// Sends a request over a connection and reads the whole answer.
+  /// Takes an idle connection that is still usable; null if there is none.
+  socket_ptr take_idle(const std::string& address);
+  /// Sends a request over a connection and reads the complete response.
   boost::asio::awaitable<void> call(const std::string& address,
                                     const socket_ptr& socket,
                                     http_request& request, fetch_result& out);
 
   boost::asio::any_io_executor executor;
   std::string agent;
-  /// Kept connections by address.
-  std::map<std::string, std::vector<kept>> idle;
+  /// Idle connections by address.
+  std::map<std::string, std::vector<idle_connection>> idle;
 };
 
 }  // namespace spokesail
--- a/src/http-platform.cc
+++ b/src/http-platform.cc
@@ -1,4 +1,4 @@
-// The platform store over HTTP and JSON, after the conventions of Kubernetes.
+// Platform store over HTTP and JSON, following the conventions of Kubernetes.
 #include <absl/strings/numbers.h>
 #include <absl/strings/str_cat.h>
 #include <absl/synchronization/mutex.h>
@@ -22,11 +22,12 @@
 constexpr int status_conflict = 409;
 constexpr int status_gone = 410;
 
-/// A watch hears a bookmark at least this often, or it has ended.
-constexpr absl::Duration watch_idle = absl::Seconds(3);
+/// A watch that receives nothing for this long has ended: the platform sends
+/// bookmarks more often.
+constexpr absl::Duration watch_idle_timeout = absl::Seconds(3);
 
-/// Connections that are kept for reuse.
-constexpr size_t kept_connections = 4;
+/// Idle connections that are kept for reuse.
+constexpr size_t max_idle_connections = 4;
 
 int64_t version_of(const json& metadata) {
   int64_t version = 0;
@@ -84,13 +85,13 @@
 
   leaf::result<object_list> list(const std::string& kind) override {
     this->count("list");
-    auto client = this->take();
+    auto client = this->acquire();
     const auto result = client->Get(api_root + kind);
     if (!result || result->status != status_ok) {
       return leaf::new_error(platform_error::unavailable);
     }
     const json j = json::parse(result->body, nullptr, false);
-    this->give_back(std::move(client));
+    this->release(std::move(client));
     if (!j.is_object() || !j.contains("items")) {
       return leaf::new_error(platform_error::unavailable);
     }
@@ -104,17 +105,17 @@
 
   leaf::result<void> watch(
       const std::string& kind, int64_t version,
-      const std::function<bool(const object*)>& taken) override {
+      const std::function<bool(const object*)>& on_change) override {
     this->count("watch");
     auto client =
-        detail::make_client(this->address, this->deadline, watch_idle);
+        detail::make_client(this->address, this->deadline, watch_idle_timeout);
     std::string buffer;
     bool expired = false;
     const auto on_line = [&](const std::string& line) {
       const json j = json::parse(line, nullptr, false);
       if (!j.is_object()) return false;
       const std::string type = j.value("type", "");
-      if (type == "BOOKMARK") return taken(nullptr);
+      if (type == "BOOKMARK") return on_change(nullptr);
       if (type == "ERROR") {
         expired = j["object"].value("code", 0) == status_gone;
         return false;
@@ -122,7 +123,7 @@
       auto o = parse_object(j["object"], kind);
       if (!o) return false;
       o->deleted = type == "DELETED";
-      return taken(&*o);
+      return on_change(&*o);
     };
     const auto on_data = [&](const char* data, size_t size) {
       buffer.append(data, size);
@@ -147,12 +148,12 @@
   platform_answer answer(const std::string& kind, const std::string& verb,
                          Send send) {
     this->count(verb);
-    auto client = this->take();
+    auto client = this->acquire();
     const auto result = send(*client);
     platform_answer out;
-    // A connection that failed is never used again.
+    // A connection that failed is not reused.
     if (!result) return out;
-    this->give_back(std::move(client));
+    this->release(std::move(client));
     switch (result->status) {
       case status_ok:
       case status_created: {
@@ -174,7 +175,7 @@
     }
   }
 
-  std::unique_ptr<httplib::Client> take() {
+  std::unique_ptr<httplib::Client> acquire() {
     {
       absl::MutexLock lock(&this->mutex);
       if (!this->idle.empty()) {
@@ -186,9 +187,9 @@
     return detail::make_client(this->address, this->deadline, this->deadline);
   }
 
-  void give_back(std::unique_ptr<httplib::Client> client) {
+  void release(std::unique_ptr<httplib::Client> client) {
     absl::MutexLock lock(&this->mutex);
-    if (this->idle.size() < kept_connections) {
+    if (this->idle.size() < max_idle_connections) {
       this->idle.push_back(std::move(client));
     }
   }
@@ -208,10 +209,10 @@
   return std::make_unique<http_platform>(address, deadline, std::move(count));
 }
 
-document_write settle_write(platform_store& store, document_write write,
-                            int give_up) {
+document_write complete_write(platform_store& store, document_write write,
+                              int max_unanswered) {
   int unanswered = 0;
-  while (!is_finished(write) && unanswered < give_up) {
+  while (!is_finished(write) && unanswered < max_unanswered) {
     const platform_answer answer = store.call(next_call(write));
     if (answer.status == call_status::unavailable) {
       unanswered++;
--- a/src/listener.cc
+++ b/src/listener.cc
@@ -6,7 +6,7 @@
 namespace net = boost::asio;
 using net::ip::tcp;
 
-/// Connections that wait to be accepted.
+/// Length of the queue of connections that wait to be accepted.
 constexpr int accept_backlog = 1024;
 
 }  // namespace
--- a/src/listener.h
+++ b/src/listener.h
@@ -8,8 +8,8 @@
 
 namespace spokesail {
 
-/// Binds an address and listens on it. False, with a log line, if the address
-/// cannot be had.
+/// Binds an address and listens on it. Returns false and logs the error if that
+/// fails.
 bool open_listener(boost::asio::ip::tcp::acceptor& acceptor,
                    const std::string& address, node_context& node);
 
