--- a/src/explain.cc
+++ b/src/explain.cc
@@ -9,28 +9,28 @@
 namespace spokesail {
 namespace {
 
-/// Events that change what a node believes, and so belong to the story of any
-/// request that it serves after them.
-const std::set<std::string> own_beliefs = {
+/// Events that change a node's state. The latest of each is shown with every
+/// request that the node serves afterwards.
+const std::set<std::string> node_state_events = {
     "config_in_force", "store_lost", "store_regained", "not_ready",
     "ready",           "stopping",   "relay_chosen",   "relay_failed",
     "servers_listed",  "start",      "halls_closed"};
 
-/// Events about a group, by the field that names it.
+/// Events about a group, with the field that names the group.
 const std::map<std::string, std::string> group_events = {
     {"group_given_up", "group"},
     {"group_dissolved", "subject"},
     {"group_forming", "subject"},
     {"order", "group"}};
 
-/// Whether a line is about one of `groups`.
-bool names_group(const log_record& r, const std::set<std::string>& groups) {
+/// Whether a record is about one of `groups`.
+bool concerns_group(const log_record& r, const std::set<std::string>& groups) {
   const auto named = group_events.find(r.event);
   return named != group_events.end() &&
          groups.count(r.value(named->second)) != 0;
 }
 
-std::string told(const log_record& r) {
+std::string format_record(const log_record& r) {
   return absl::StrCat(
       r.time, " ", r.node, " ", r.event,
       r.text.substr(
@@ -58,7 +58,8 @@
                     attempt->value("why"), ")");
   }
   absl::StrAppend(&out, ". The node then had configuration ",
-                  end.value("config"), ", proved ", end.value("config_age_ms"),
+                  end.value("config"), ", verified ",
+                  end.value("config_age_ms"),
                   " ms before, and the servers as of revision ",
                   end.value("servers_rev"), ".");
   return out;
@@ -84,24 +85,25 @@
   }
   explanation out;
   if (end == nullptr) return out;
-  // Of each kind of belief, the latest before the end, by node and group.
-  std::map<std::string, const log_record*> beliefs;
-  std::vector<const log_record*> story;
+  // The latest state change of each kind before the end, by node and event.
+  std::map<std::string, const log_record*> state_changes;
+  std::vector<const log_record*> selected;
   for (const auto& r : records) {
     if (r.time > end->time) break;
-    if (r.value("id") == id || names_group(r, groups)) {
-      story.push_back(&r);
-    } else if (own_beliefs.count(r.event) != 0 && nodes.count(r.node) != 0) {
-      beliefs[absl::StrCat(r.node, " ", r.event)] = &r;
+    if (r.value("id") == id || concerns_group(r, groups)) {
+      selected.push_back(&r);
+    } else if (node_state_events.count(r.event) != 0 &&
+               nodes.count(r.node) != 0) {
+      state_changes[absl::StrCat(r.node, " ", r.event)] = &r;
     } else if (r.event == "lease_taken") {
-      beliefs["lease"] = &r;
+      state_changes["lease"] = &r;
     }
   }
-  for (const auto& [kind, r] : beliefs) story.push_back(r);
+  for (const auto& [kind, r] : state_changes) selected.push_back(r);
   std::stable_sort(
-      story.begin(), story.end(),
+      selected.begin(), selected.end(),
       [](const auto* a, const auto* b) { return a->time < b->time; });
-  for (const auto* r : story) out.lines.push_back(told(*r));
+  for (const auto* r : selected) out.lines.push_back(format_record(*r));
   out.cause = cause_of(*end, attempt);
   return out;
 }
--- a/src/explain.h
+++ b/src/explain.h
@@ -1,4 +1,4 @@
-// Explains one request from the log files of several nodes.
+// Explains the outcome of a request from the log files of several nodes.
 #pragma once
 
 #include <string>
@@ -8,16 +8,17 @@
 
 namespace spokesail {
 
-/// What is told of one request.
+/// The history of one request.
 struct explanation {
-  /// The request's lines, and what its nodes believed then, by time.
+  /// The request's log lines and the state changes of its nodes and groups
+  /// before its end, sorted by time.
   std::vector<std::string> lines;
-  /// The cause of its outcome, in a sentence; empty if the logs do not name
-  /// the request.
+  /// The cause of its outcome, in a few sentences; empty if the logs have no
+  /// `request_ended` line for the request.
   std::string cause;
 };
 
-/// Explains the request `id` from `records` of any nodes, in any order.
+/// Explains the request `id` from the records of any nodes, in any order.
 explanation explain_request(const std::string& id,
                             std::vector<log_record> records);
 
--- a/src/load.cc
+++ b/src/load.cc
@@ -1,4 +1,4 @@
-// spokesail-load: an open-loop load on entry hosts, with a report.
+// spokesail-load: open-loop load generator for entry hosts.
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
 #include <absl/strings/str_cat.h>
@@ -20,25 +20,29 @@
 #include "sse.h"
 
 ABSL_FLAG(std::vector<std::string>, entries, {},
-          "HTTP addresses to send to, in turn at random");
+          "HTTP addresses of entry hosts; each request picks one at random");
 ABSL_FLAG(bool, balance, false,
-          "send to entries only while their /readyz says ready, as a balancer");
-ABSL_FLAG(double, rate, 20, "requests a second, at Poisson times");
-ABSL_FLAG(double, seconds, 10, "how long to send");
-ABSL_FLAG(std::string, model, "review", "model to ask");
+          "send only to entries whose /readyz reports ready, like a load "
+          "balancer");
+ABSL_FLAG(double, rate, 20,
+          "mean request rate per second, with Poisson arrivals");
+ABSL_FLAG(double, seconds, 10, "duration of the load in seconds");
+ABSL_FLAG(std::string, model, "review", "model to request");
 ABSL_FLAG(std::string, service, "status", "plain service to call");
-ABSL_FLAG(double, service_share, 0.3, "share of calls of the plain service");
-ABSL_FLAG(double, once_share, 0.3, "share of requests that may run once only");
-ABSL_FLAG(
-    std::vector<std::string>, workspaces, {"billing"},
-    "workspaces, each with the same share; name one twice to give it two");
-ABSL_FLAG(int, tokens, 16, "tokens of each answer");
+ABSL_FLAG(double, service_share, 0.3,
+          "fraction of requests that go to the plain service");
+ABSL_FLAG(double, once_share, 0.3,
+          "fraction of requests that must not run more than once");
+ABSL_FLAG(std::vector<std::string>, workspaces, {"billing"},
+          "workspaces, with equal shares; list one twice to double its share");
+ABSL_FLAG(int, tokens, 16, "tokens per answer");
 ABSL_FLAG(int, deadline_ms, 20000, "deadline of each request");
-ABSL_FLAG(uint64_t, seed, 1, "seed of times and mix");
-ABSL_FLAG(std::string, id_prefix, "r", "prefix of the requests' ids");
-ABSL_FLAG(std::string, history, "", "file for a line on each request");
+ABSL_FLAG(uint64_t, seed, 1, "random seed of arrival times and request mix");
+ABSL_FLAG(std::string, id_prefix, "r", "prefix of request ids");
+ABSL_FLAG(std::string, history, "",
+          "file to append one JSON line per request to");
 ABSL_FLAG(std::string, direct_group, "",
-          "GROUP/INCARNATION, to ask an engine's leader directly");
+          "GROUP/INCARNATION, to send requests directly to an engine's leader");
 ABSL_FLAG(std::string, output, "text", "text or json");
 
 namespace spokesail {
@@ -46,52 +50,53 @@
 
 using json = nlohmann::json;
 
-constexpr size_t most_at_once = 2000;
-constexpr absl::Duration patience = absl::Seconds(10);
+constexpr size_t max_concurrent_requests = 2000;
+constexpr absl::Duration response_grace = absl::Seconds(10);
 
-/// What one request is to be.
+/// A request before it is sent.
 struct planned_request {
   std::string id;
   std::string entry;
   std::string workspace;
   bool service = false;
-  bool once = false;
-  absl::Time due;
+  bool run_once = false;
+  absl::Time scheduled_at;
 };
 
-/// What became of it.
-struct finished_request {
+/// A request after its end.
+struct request_record {
   planned_request plan;
   absl::Time sent;
   absl::Time ended;
   absl::Time first_token = absl::InfiniteFuture();
   absl::Time last_token;
-  absl::Duration worst_gap = absl::ZeroDuration();
+  absl::Duration longest_gap = absl::ZeroDuration();
   int status = 0;
   int tokens = 0;
-  /// "answered", "refused" or "failed" as told; "lost" without a word.
+  /// "answered", "refused" or "failed" as the response states; "lost" if no
+  /// outcome was received.
   std::string outcome = "lost";
   std::string code;
-  /// Whether the answer was this request's own, and whole.
-  bool right = false;
+  /// Whether the answer belongs to this request and is complete.
+  bool correct = false;
 };
 
-/// The made-up answer that an engine stand-in gives to a prompt.
+/// The answer that an engine stand-in generates for a prompt.
 std::string expected_answer(const std::string& prompt, int tokens) {
   std::string text = "re:" + prompt.substr(0, 24);
   for (int i = 1; i < tokens; i++) absl::StrAppend(&text, " t", i);
   return text;
 }
 
-void take_error(const std::string& body, finished_request& out) {
+void read_error(const std::string& body, request_record& out) {
   const json j = json::parse(body, nullptr, false);
   if (!j.is_object() || !j.contains("error")) return;
   out.outcome = j["error"].value("outcome", "lost");
   out.code = j["error"].value("code", "");
 }
 
-void ask_model(httplib::Client& client, httplib::Headers headers,
-               finished_request& out) {
+void call_model(httplib::Client& client, httplib::Headers headers,
+                request_record& out) {
   const std::string prompt = "prompt " + out.plan.id;
   const int tokens = absl::GetFlag(FLAGS_tokens);
   const json body = {{"model", absl::GetFlag(FLAGS_model)},
@@ -117,7 +122,7 @@
       }
       const json j = json::parse(event, nullptr, false);
       if (!j.is_object() || !j.contains("choices")) {
-        take_error(event, out);
+        read_error(event, out);
         return true;
       }
       const json delta = j["choices"][0].value("delta", json::object());
@@ -126,7 +131,7 @@
       if (out.tokens == 0) {
         out.first_token = now;
       } else {
-        out.worst_gap = std::max(out.worst_gap, now - out.last_token);
+        out.longest_gap = std::max(out.longest_gap, now - out.last_token);
       }
       out.last_token = now;
       out.tokens++;
@@ -139,43 +144,44 @@
   out.status = result->status;
   if (end_mark) {
     out.outcome = "answered";
-    out.right = text == expected_answer(prompt, tokens);
+    out.correct = text == expected_answer(prompt, tokens);
   } else if (out.code.empty()) {
-    take_error(raw, out);
+    read_error(raw, out);
   }
 }
 
 void call_service(httplib::Client& client, const httplib::Headers& headers,
-                  finished_request& out) {
+                  request_record& out) {
   const std::string path =
       absl::StrCat("/services/", absl::GetFlag(FLAGS_service), "/");
-  const auto result = out.plan.once ? client.Post(path + out.plan.id, headers,
-                                                  out.plan.id, "text/plain")
-                                    : client.Get(path + out.plan.id, headers);
+  const auto result =
+      out.plan.run_once
+          ? client.Post(path + out.plan.id, headers, out.plan.id, "text/plain")
+          : client.Get(path + out.plan.id, headers);
   if (!result) return;
   out.status = result->status;
   if (result->status != 200) {
-    take_error(result->body, out);
+    read_error(result->body, out);
     return;
   }
   out.outcome = "answered";
   const json j = json::parse(result->body, nullptr, false);
-  out.right = j.is_object() && j.value("path", "") == "/" + out.plan.id &&
-              j.value("echo", "") == (out.plan.once ? out.plan.id : "");
+  out.correct = j.is_object() && j.value("path", "") == "/" + out.plan.id &&
+                j.value("echo", "") == (out.plan.run_once ? out.plan.id : "");
 }
 
-finished_request run(const planned_request& plan) {
-  finished_request out;
+request_record run(const planned_request& plan) {
+  request_record out;
   out.plan = plan;
   const absl::Duration limit =
-      absl::Milliseconds(absl::GetFlag(FLAGS_deadline_ms)) + patience;
-  auto client = detail::make_client(plan.entry, patience, limit);
+      absl::Milliseconds(absl::GetFlag(FLAGS_deadline_ms)) + response_grace;
+  auto client = detail::make_client(plan.entry, response_grace, limit);
   httplib::Headers headers = {
       {detail::workspace_header, plan.workspace},
       {"X-Test-Id", plan.id},
       {detail::deadline_header,
        std::to_string(absl::GetFlag(FLAGS_deadline_ms))}};
-  if (plan.once) headers.emplace(detail::repeatable_header, "no");
+  if (plan.run_once) headers.emplace(detail::repeatable_header, "no");
   const std::string direct = absl::GetFlag(FLAGS_direct_group);
   if (!direct.empty()) {
     const std::vector<std::string> parts = absl::StrSplit(direct, '/');
@@ -186,15 +192,15 @@
   if (plan.service) {
     call_service(*client, headers, out);
   } else {
-    ask_model(*client, std::move(headers), out);
+    call_model(*client, std::move(headers), out);
   }
   out.ended = absl::Now();
   return out;
 }
 
-/// Draws all requests before the first is sent: the load does not depend on
-/// how the system fares.
-std::vector<planned_request> draw() {
+/// Draws all requests before the first is sent, so that the load does not
+/// depend on how the system responds.
+std::vector<planned_request> plan_requests() {
   std::mt19937_64 random(absl::GetFlag(FLAGS_seed));
   std::exponential_distribution<double> gap(absl::GetFlag(FLAGS_rate));
   std::uniform_real_distribution<double> unit(0, 1);
@@ -209,35 +215,36 @@
     next.entry = entries[random() % entries.size()];
     next.workspace = workspaces[random() % workspaces.size()];
     next.service = unit(random) < absl::GetFlag(FLAGS_service_share);
-    next.once = unit(random) < absl::GetFlag(FLAGS_once_share);
-    next.due = start + absl::Seconds(at);
+    next.run_once = unit(random) < absl::GetFlag(FLAGS_once_share);
+    next.scheduled_at = start + absl::Seconds(at);
     all.push_back(next);
     at += gap(random);
   }
   return all;
 }
 
-/// What a balancer in front of the entry hosts does: it asks each now and
-/// then whether it is ready, and sends to those that are.
-class balancer {
+/// A load balancer in front of the entry hosts: probes their readiness
+/// periodically and sends only to those that are ready.
+class load_balancer {
  public:
-  explicit balancer(std::vector<std::string> addresses)
+  explicit load_balancer(std::vector<std::string> addresses)
       : entries(std::move(addresses)), ready(entries) {
     if (!absl::GetFlag(FLAGS_balance)) return;
     this->prober = std::thread([this] { this->probe(); });
   }
-  ~balancer() {
+  ~load_balancer() {
     this->done = true;
     if (this->prober.joinable()) this->prober.join();
   }
 
-  /// The entry for a request that would go to `wanted`.
+  /// The entry for a request: `wanted` if it is ready or none is, otherwise the
+  /// ready ones in turn.
   std::string pick(const std::string& wanted) {
     absl::MutexLock lock(&this->mutex);
     const auto& all = this->ready;
     if (all.empty()) return wanted;
     if (std::find(all.begin(), all.end(), wanted) != all.end()) return wanted;
-    return all[this->turn++ % all.size()];
+    return all[this->next_index++ % all.size()];
   }
 
  private:
@@ -245,7 +252,7 @@
     while (!this->done) {
       std::vector<std::string> found;
       for (const auto& entry : this->entries) {
-        auto client = detail::make_client(entry, probe_limit, probe_limit);
+        auto client = detail::make_client(entry, probe_timeout, probe_timeout);
         const auto result = client->Get("/readyz");
         if (result && result->status == 200) found.push_back(entry);
       }
@@ -257,13 +264,13 @@
     }
   }
 
-  static constexpr absl::Duration probe_limit = absl::Milliseconds(200);
+  static constexpr absl::Duration probe_timeout = absl::Milliseconds(200);
   static constexpr absl::Duration probe_period = absl::Milliseconds(100);
 
   const std::vector<std::string> entries;
   absl::Mutex mutex;
   std::vector<std::string> ready;
-  size_t turn = 0;
+  size_t next_index = 0;
   std::atomic<bool> done = false;
   std::thread prober;
 };
@@ -275,7 +282,7 @@
   return values[static_cast<size_t>(std::lround(q * last))];
 }
 
-json report(const std::vector<finished_request>& all) {
+json report(const std::vector<request_record>& all) {
   std::map<std::string, int> outcomes;
   std::map<std::string, int> goodput;
   std::vector<double> first;
@@ -287,16 +294,17 @@
   for (const auto& r : all) {
     outcomes[r.outcome + (r.code.empty() ? "" : ":" + r.code)]++;
     tokens += r.tokens;
-    const double ms = absl::ToDoubleMilliseconds(r.ended - r.plan.due);
+    const double ms = absl::ToDoubleMilliseconds(r.ended - r.plan.scheduled_at);
     if (r.outcome == "refused") refusals.push_back(ms);
     if (r.outcome != "answered") continue;
     goodput[r.plan.workspace]++;
-    wrong += r.right ? 0 : 1;
+    wrong += r.correct ? 0 : 1;
     if (r.plan.service) {
       calls.push_back(ms);
     } else {
-      first.push_back(absl::ToDoubleMilliseconds(r.first_token - r.plan.due));
-      gaps.push_back(absl::ToDoubleMilliseconds(r.worst_gap));
+      first.push_back(
+          absl::ToDoubleMilliseconds(r.first_token - r.plan.scheduled_at));
+      gaps.push_back(absl::ToDoubleMilliseconds(r.longest_gap));
     }
   }
   return {{"requests", all.size()},
@@ -312,7 +320,7 @@
           {"refusal_ms_p95", quantile(refusals, 0.95)}};
 }
 
-void write_history(const std::vector<finished_request>& all) {
+void write_history(const std::vector<request_record>& all) {
   const std::string file = absl::GetFlag(FLAGS_history);
   if (file.empty()) return;
   std::ofstream out(file, std::ios::app);
@@ -321,10 +329,10 @@
                        {"e", "request"},
                        {"sent", absl::ToUnixMicros(r.sent)},
                        {"request", r.plan.id},
-                       {"once", r.plan.once},
+                       {"once", r.plan.run_once},
                        {"outcome", r.outcome},
                        {"code", r.code},
-                       {"right", r.right}};
+                       {"right", r.correct}};
     out << line.dump() << "\n";
   }
 }
@@ -334,13 +342,13 @@
     std::cerr << "spokesail-load: --entries is needed\n";
     return 2;
   }
-  const auto plans = draw();
+  const auto plans = plan_requests();
   absl::Mutex mutex;
-  std::vector<finished_request> all;
-  detail::worker_pool pool(most_at_once);
-  balancer balance(absl::GetFlag(FLAGS_entries));
+  std::vector<request_record> all;
+  detail::worker_pool pool(max_concurrent_requests);
+  load_balancer balance(absl::GetFlag(FLAGS_entries));
   for (auto plan : plans) {
-    absl::SleepFor(plan.due - absl::Now());
+    absl::SleepFor(plan.scheduled_at - absl::Now());
     plan.entry = balance.pick(plan.entry);
     pool.add([&all, &mutex, plan] {
       auto done = run(plan);
--- a/src/log-record.cc
+++ b/src/log-record.cc
@@ -5,7 +5,8 @@
 namespace spokesail {
 namespace {
 
-/// The value that starts at `at`, in quotes or up to a blank; moves `at` on.
+/// Parses the value that starts at `at`, in quotes or up to a space, and moves
+/// `at` past it.
 std::string read_value(const std::string& line, size_t& at) {
   std::string out;
   if (at >= line.size() || line[at] != '"') {
--- a/src/log-record.h
+++ b/src/log-record.h
@@ -1,4 +1,4 @@
-// One line of a node's log, read back.
+// Parser for the lines of a node's log.
 #pragma once
 
 #include <string>
@@ -7,21 +7,21 @@
 
 namespace spokesail {
 
-/// One line of a log, as key=value pairs in their order.
+/// A line of a log as key=value pairs, in the order of the line.
 struct log_record {
   std::string time;
   std::string node;
   std::string event;
   std::vector<std::pair<std::string, std::string>> fields;
-  /// The line as it stands in the file.
+  /// The line from `time=` on, as in the file.
   std::string text;
 
   /// A field's value; empty if the line has none.
   std::string value(const std::string& key) const;
 };
 
-/// Reads a line; fields it cannot read are left out. Whatever stands before
-/// `time=` is passed over.
+/// Parses a line. Fields that cannot be parsed are left out, and text before
+/// `time=` is ignored.
 log_record parse_log_line(const std::string& line);
 
 }  // namespace spokesail
--- a/src/log.h
+++ b/src/log.h
@@ -1,4 +1,4 @@
-// Logs: one line of key=value pairs for each event, to standard error.
+// Logging to standard error: one line of key=value pairs for each event.
 #pragma once
 
 #include <string>
@@ -8,13 +8,14 @@
 
 namespace spokesail {
 
-/// Starts logging; `node` is on each line.
+/// Initializes logging. Each line contains the name `node`.
 void start_log(const std::string& node);
 
-/// Writes one line.
+/// Logs the event `name` with its fields.
 void log_line(const std::string& name, const std::vector<log_field>& fields);
 
-/// `value`, in quotes if it has a space, a quote, '=' or is empty.
+/// Returns `value`, quoted and escaped if it is empty or contains a space, tab,
+/// newline, quote, backslash or '='.
 std::string quoted(const std::string& value);
 
 }  // namespace spokesail
--- a/src/losses.cc
+++ b/src/losses.cc
@@ -12,19 +12,20 @@
 namespace spokesail {
 namespace {
 
-/// A wait at the node, before it is sent anywhere, above this part of the goal
-/// is named as the cause of a late first event, rather than the group.
-constexpr double long_wait_share = 0.1;
+/// If a request waited at the node, before it was sent, for more than this
+/// fraction of its goal, the wait rather than the group is reported as the
+/// cause of a late first event.
+constexpr double long_wait_fraction = 0.1;
 
-/// Most signs of a bar.
-constexpr int bar_width = 50;
+/// Width of a full bar in characters.
+constexpr int max_bar_width = 50;
 
-/// Seconds that a line of the plot covers.
-constexpr int64_t plot_step = 2;
+/// Seconds covered by one line of the plot.
+constexpr int64_t plot_step_s = 2;
 
-constexpr int most_routes_told = 3;
+constexpr int max_routes_listed = 3;
 
-/// A field as a number; 0 if it is none.
+/// A field as a number; 0 if it is missing or not a number.
 double number(const log_record& r, const char* key) {
   double out = 0;
   return absl::SimpleAtod(r.value(key), &out) ? out : 0;
@@ -33,9 +34,9 @@
 /// Why a stream's first event was late.
 std::string first_event_cause(const log_record& r) {
   const double goal = number(r, "due_ms");
-  if (number(r, "sends") > 1) return "first event late: sent again";
-  if (number(r, "wait_ms") > long_wait_share * goal) {
-    return "first event late: waited at the node";
+  if (number(r, "sends") > 1) return "first event late: retried";
+  if (number(r, "wait_ms") > long_wait_fraction * goal) {
+    return "first event late: queued at the node";
   }
   if (number(r, "predicted_ms") > goal) return "first event late: as predicted";
   return "first event late: later than predicted";
@@ -49,11 +50,11 @@
   }
   if (number(r, "first_ms") > goal) return first_event_cause(r);
   if (number(r, "pause_ms") <= number(r, "longest_gap_ms")) return "";
-  return number(r, "sends") > 1 ? "pause too long: went on at another group"
+  return number(r, "sends") > 1 ? "pause too long: resumed at another group"
                                 : "pause too long: in one group";
 }
 
-/// When a request came; infinite past if its line does not say.
+/// When a request arrived; infinite past if the line has no valid time.
 absl::Time arrival(const log_record& r) {
   absl::Time ended;
   std::string error;
@@ -63,18 +64,18 @@
   return ended - absl::Milliseconds(number(r, "total_ms"));
 }
 
-/// Whether a line tells the end of a request that has a route.
-bool counts(const log_record& r) {
+/// Whether a record is the end of a request for which a route was found.
+bool is_counted(const log_record& r) {
   return r.event == "request_ended" && !r.value("route").empty();
 }
 
-/// The routes that lost most, with their counts.
+/// The routes with the most losses, with their counts.
 std::string worst_routes(const std::map<std::string, int>& routes) {
   std::vector<std::pair<int, std::string>> sorted;
   sorted.reserve(routes.size());
   for (const auto& [route, count] : routes) sorted.emplace_back(count, route);
   std::sort(sorted.rbegin(), sorted.rend());
-  if (sorted.size() > most_routes_told) sorted.resize(most_routes_told);
+  if (sorted.size() > max_routes_listed) sorted.resize(max_routes_listed);
   std::string out;
   for (const auto& [count, route] : sorted) {
     absl::StrAppend(&out, out.empty() ? "" : ", ", route, " ", count);
@@ -106,13 +107,13 @@
 std::string plot(const loss_report& report) {
   std::map<int64_t, loss_count> steps;
   for (const auto& [second, count] : report.by_second) {
-    loss_count& step = steps[second / plot_step * plot_step];
+    loss_count& step = steps[second / plot_step_s * plot_step_s];
     step.requests += count.requests;
     step.lost += count.lost;
   }
   std::string out = " second requests lost\n";
   for (const auto& [second, count] : steps) {
-    const int width = count.lost * bar_width / std::max(1, count.requests);
+    const int width = count.lost * max_bar_width / std::max(1, count.requests);
     absl::StrAppendFormat(&out, "%7d %8d %4d %s\n", second, count.requests,
                           count.lost, std::string(width, '#'));
   }
@@ -122,11 +123,12 @@
 }  // namespace
 
 std::string loss_cause(const log_record& record) {
-  if (!counts(record)) return "";
+  if (!is_counted(record)) return "";
   const std::string outcome = record.value("outcome");
   if (outcome == "answered") return answered_cause(record);
-  // The caller's leave says nothing of the service, whatever broke with it.
-  if (outcome == "caller_gone") return "caller left";
+  // A request that ends because the caller disconnected does not show a fault
+  // of the service, whatever failed along with it.
+  if (outcome == "caller_gone") return "caller disconnected";
   return absl::StrCat(outcome, ": ", record.value("why"));
 }
 
@@ -134,10 +136,10 @@
   loss_report out;
   absl::Time start = absl::InfiniteFuture();
   for (const auto& r : records) {
-    if (counts(r)) start = std::min(start, arrival(r));
+    if (is_counted(r)) start = std::min(start, arrival(r));
   }
   for (const auto& r : records) {
-    if (!counts(r)) continue;
+    if (!is_counted(r)) continue;
     const std::string cause = loss_cause(r);
     const int64_t second = absl::ToInt64Seconds(arrival(r) - start);
     loss_count& step = out.by_second[second];
--- a/src/main.cc
+++ b/src/main.cc
@@ -28,14 +28,16 @@
 
 ABSL_FLAG(std::string, settings, "", "settings file of the node");
 ABSL_FLAG(std::string, f, "", "directory of the configuration");
-ABSL_FLAG(std::string, platform, "", "the platform's address");
+ABSL_FLAG(std::string, platform, "", "HTTP address of the platform");
 ABSL_FLAG(std::string, node, "", "HTTP address of any entry host");
 ABSL_FLAG(std::string, base, "", "revision that the change is based on");
-ABSL_FLAG(std::string, operator_name, "", "who makes the change");
+ABSL_FLAG(std::string, operator_name, "",
+          "name of the operator who makes the change");
 ABSL_FLAG(std::string, output, "text", "text or json");
-ABSL_FLAG(std::string, wait, "20", "seconds to wait until it is in force");
+ABSL_FLAG(std::string, wait, "20",
+          "seconds to wait until the change is in force on all nodes");
 ABSL_FLAG(bool, dry_run, false, "show the difference, change nothing");
-ABSL_FLAG(bool, undo, false, "take the drain back");
+ABSL_FLAG(bool, undo, false, "undo the drain");
 
 namespace spokesail {
 namespace {
@@ -50,7 +52,7 @@
 constexpr absl::Duration call_deadline = absl::Seconds(2);
 constexpr absl::Duration progress_period = absl::Milliseconds(250);
 
-/// A command, its flags and its help.
+/// A command of the program.
 struct command {
   const char* name;
   const char* usage;
@@ -71,9 +73,9 @@
   return exit_failed;
 }
 
-int platform_away() {
-  std::cerr << "spokesail: the platform does not answer; the change may or "
-               "may not have taken effect, `spokesail get` will tell\n";
+int report_platform_unavailable() {
+  std::cerr << "spokesail: the platform does not respond; the change may or "
+               "may not have taken effect, check with `spokesail get`\n";
   return exit_failed;
 }
 
@@ -99,8 +101,8 @@
       [] { return exit_failed; });
 }
 
-/// Reads the log files named from argument `first` on; nothing if one cannot
-/// be read, which is then said.
+/// Reads the log files that are named by the arguments from `first` on. If one
+/// cannot be read, prints an error and returns nothing.
 std::optional<std::vector<log_record>> read_logs(
     const std::vector<std::string>& args, size_t first) {
   std::vector<log_record> records;
@@ -125,20 +127,23 @@
 }
 
 int run_explain(const std::vector<std::string>& args) {
-  if (args.size() < 2) return usage_error("explain needs an id and log files");
+  if (args.size() < 2)
+    return usage_error("explain needs a request id and log files");
   auto records = read_logs(args, 1);
   if (!records) return exit_usage;
-  const explanation told = explain_request(args[0], std::move(*records));
-  if (told.cause.empty()) {
-    std::cerr << "spokesail: no log line names " << args[0] << "\n";
+  const explanation summary = explain_request(args[0], std::move(*records));
+  if (summary.cause.empty()) {
+    std::cerr << "spokesail: the logs do not contain the end of request "
+              << args[0] << "\n";
     return exit_failed;
   }
-  for (const auto& line : told.lines) std::cout << line << "\n";
-  std::cout << "\n" << told.cause << "\n";
+  for (const auto& line : summary.lines) std::cout << line << "\n";
+  std::cout << "\n" << summary.cause << "\n";
   return exit_ok;
 }
 
-/// The settings file that the platform names, if the flag does not.
+/// The settings file, from the flag or else from the platform's environment
+/// variable; empty if neither is set.
 std::string node_settings_file() {
   std::string given = absl::GetFlag(FLAGS_settings);
   if (!given.empty()) return given;
@@ -181,7 +186,7 @@
       [] { return exit_failed; });
 }
 
-/// The status of a node, or null if it does not answer.
+/// The status of a node; null if it does not respond.
 json fetch_status(const std::string& address) {
   auto client = detail::make_client(address, call_deadline, call_deadline);
   const auto result = client->Get("/admin/status");
@@ -189,29 +194,30 @@
   return json::parse(result->body, nullptr, false);
 }
 
-/// The nodes that can be heard of, and those that lack a revision.
+/// How far a revision has spread: the number of known nodes, and those that do
+/// not have it in force yet.
 struct rollout {
   size_t nodes = 0;
   std::vector<std::string> behind;
 };
 
-/// Asks a node, the members that it knows, the members that they know, and so
-/// on, for the revision that each has in force.
-rollout look_around(const std::string& first, int64_t revision) {
+/// Queries the revision in force of a node and, transitively, of all members
+/// that the queried nodes know.
+rollout query_members(const std::string& first, int64_t revision) {
   rollout out;
   std::map<std::string, std::string> names = {{first, first}};
-  std::set<std::string> asked;
+  std::set<std::string> queried;
   for (;;) {
     const auto next = std::find_if(
         names.begin(), names.end(),
-        [&](const auto& entry) { return asked.count(entry.first) == 0; });
+        [&](const auto& entry) { return queried.count(entry.first) == 0; });
     if (next == names.end()) return out;
     const auto [address, name] = *next;
-    asked.insert(address);
+    queried.insert(address);
     const json status = fetch_status(address);
     out.nodes++;
     if (!status.is_object()) {
-      out.behind.push_back(name + " (does not answer)");
+      out.behind.push_back(name + " (does not respond)");
       continue;
     }
     if (status["revision"] < revision) out.behind.push_back(name);
@@ -221,7 +227,7 @@
   }
 }
 
-/// Waits until every node that can be heard of has the revision in force.
+/// Waits until every known node has the revision in force.
 int wait_in_force(int64_t revision) {
   const std::string node = absl::GetFlag(FLAGS_node);
   double seconds = 0;
@@ -230,34 +236,38 @@
   }
   if (node.empty()) return exit_ok;
   const absl::Time started = absl::Now();
-  rollout seen;
+  rollout progress;
   do {
-    seen = look_around(node, revision);
-    if (seen.behind.empty()) {
-      std::cout << "in force on " << seen.nodes << " nodes after "
+    progress = query_members(node, revision);
+    if (progress.behind.empty()) {
+      std::cout << "in force on " << progress.nodes << " nodes after "
                 << absl::ToInt64Milliseconds(absl::Now() - started) << " ms\n";
       return exit_ok;
     }
     absl::SleepFor(progress_period);
   } while (absl::Now() - started < absl::Seconds(seconds));
   std::cout << "accepted, but not yet in force on: "
-            << absl::StrJoin(seen.behind, ", ") << "\n";
+            << absl::StrJoin(progress.behind, ", ") << "\n";
   return exit_failed;
 }
 
-void print_winner(const config_head& winner) {
-  std::cerr << "the newest is revision " << winner.revision << " by "
-            << winner.operator_name << " at " << winner.accepted_at << "\n";
+void print_current_head(const config_head& current_head) {
+  std::cerr << "the newest revision is " << current_head.revision << " by "
+            << current_head.operator_name << " at " << current_head.accepted_at
+            << "\n";
 }
 
-/// Tells who won a race and how the winner differs from what was sent.
-int explain_lost(platform_store& store, const configuration& mine,
-                 const apply_error& error) {
-  if (error.why == apply_error::reason::platform_away) return platform_away();
-  std::cerr << (error.why == apply_error::reason::lost_race
-                    ? "spokesail: not accepted, another change came first\n"
-                    : "spokesail: not accepted, the base is not the newest\n");
-  print_winner(error.winner);
+/// Prints why a change was rejected and how the accepted configuration differs
+/// from it.
+int report_rejection(platform_store& store, const configuration& mine,
+                     const apply_error& error) {
+  if (error.why == apply_error::reason::platform_unavailable)
+    return report_platform_unavailable();
+  std::cerr << (error.why == apply_error::reason::conflict
+                    ? "spokesail: not accepted: another change came first\n"
+                    : "spokesail: not accepted: the base is not the newest "
+                      "revision\n");
+  print_current_head(error.current_head);
   return leaf::try_handle_all(
       [&]() -> leaf::result<int> {
         BOOST_LEAF_AUTO(accepted, read_accepted(store));
@@ -289,7 +299,7 @@
                     << "\n";
           return exit_ok;
         }
-        // Without a base the one just read and shown counts.
+        // By default the change is based on the revision just read and shown.
         const int64_t on = base >= 0 ? base : before.head.revision;
         BOOST_LEAF_AUTO(head, accept_config(*store, next, on, operator_name()));
         std::cout << "accepted revision " << head.revision << " digest "
@@ -300,7 +310,7 @@
       },
       [](const yaml_error& error) { return print_faults(error); },
       [&](const apply_error& error) {
-        return explain_lost(*store, next, error);
+        return report_rejection(*store, next, error);
       },
       [] { return exit_failed; });
 }
@@ -317,7 +327,7 @@
         return exit_ok;
       },
       [](const apply_error&) {
-        std::cerr << "spokesail: the platform does not answer\n";
+        std::cerr << "spokesail: the platform does not respond\n";
         return exit_failed;
       },
       [] { return exit_failed; });
@@ -333,7 +343,7 @@
   for (const auto& m : status["members"]) {
     std::cout << "member " << m["name"].get<std::string>() << " hall "
               << m["hall"].get<std::string>() << " revision " << m["revision"]
-              << (m["alive"] ? " alive" : " not heard of")
+              << (m["alive"] ? " alive" : " not alive")
               << (m["stopping"] ? " stopping" : "") << "\n";
   }
   for (const auto& g : status["groups"]) {
@@ -354,7 +364,7 @@
 int run_status(const std::vector<std::string>&) {
   const json status = fetch_status(absl::GetFlag(FLAGS_node));
   if (!status.is_object()) {
-    std::cerr << "spokesail: the node does not answer\n";
+    std::cerr << "spokesail: the node does not respond\n";
     return exit_failed;
   }
   if (absl::GetFlag(FLAGS_output) == "json") {
@@ -377,12 +387,13 @@
     object base;
     base.key = key;
     const json spec = {{"operator", operator_name()}};
-    const auto write = settle_write(
+    const auto write = complete_write(
         *store, make_write(base, spec.dump(), "drain-" + operator_name()), 8);
-    // Lost to an earlier drain of the same host is as good.
-    if (settled(write)) status = call_status::ok;
+    // A write that lost to an earlier drain of the same host has the same
+    // effect.
+    if (is_finished(write)) status = call_status::ok;
   }
-  if (status == call_status::unavailable) return platform_away();
+  if (status == call_status::unavailable) return report_platform_unavailable();
   write_audit(*store, undo ? "drain_undone" : "drain", operator_name(),
               args[0]);
   std::cout << (undo ? "no longer drained: " : "draining: ") << args[0] << "\n";
@@ -402,7 +413,7 @@
         return exit_ok;
       },
       [] {
-        std::cerr << "spokesail: the platform does not answer\n";
+        std::cerr << "spokesail: the platform does not respond\n";
         return exit_failed;
       });
 }
@@ -421,12 +432,12 @@
        run_serve},
       {"explain",
        "explain ID FILE...",
-       "tell from nodes' log files why a request ended as it did",
+       "explain from nodes' log files why a request ended as it did",
        {},
        run_explain},
       {"losses",
        "losses FILE...",
-       "count requests that were not served in time, by cause, from logs",
+       "count requests that were not served in time in log files, by cause",
        {},
        run_losses},
       {"node",
@@ -436,7 +447,7 @@
        run_node_command},
       {"apply",
        "apply --f DIR --platform ADDR [--node ADDR] [--base N] [--dry_run]",
-       "make a directory of YAML files the configuration, as a whole",
+       "replace the whole configuration by a directory of YAML files",
        {"f", "platform", "node", "base", "dry_run", "operator_name", "wait"},
        run_apply},
       {"get",
@@ -451,12 +462,12 @@
        run_status},
       {"drain",
        "drain HOST --platform ADDR [--undo]",
-       "take a host out of use once its work is done",
+       "take a host out of use once its requests have ended",
        {"platform", "undo", "operator_name"},
        run_drain},
       {"audit",
        "audit --platform ADDR",
-       "print who changed what, and when",
+       "print the audit trail: who changed what, and when",
        {"platform"},
        run_audit},
       {"check",
@@ -475,15 +486,16 @@
   }
 }
 
-/// The name in a flag such as --name=value or --noname; empty if it is none.
+/// The name in a flag such as --name or --name=value; empty if `arg` is not a
+/// flag.
 std::string flag_name(const std::string& arg) {
   if (!absl::StartsWith(arg, "-")) return "";
   const std::string text = arg.substr(absl::StartsWith(arg, "--") ? 2 : 1);
   return text.substr(0, text.find('='));
 }
 
-/// Checks flags against the command's own; false, with a message, if one is
-/// unknown or a needed one is missing.
+/// Checks the flags given to a command. Prints an error and returns false if
+/// one is unknown or a required one is missing.
 bool check_flags(const command& c, const std::vector<std::string>& args) {
   for (const auto& arg : args) {
     const std::string name = flag_name(arg);
--- a/src/metrics.cc
+++ b/src/metrics.cc
@@ -19,28 +19,28 @@
 metrics::metrics()
     : platform_calls(make_counters(this->registry,
                                    "spokesail_platform_calls_total",
-                                   "Calls on the platform, by verb")),
+                                   "Calls to the platform, by verb")),
       control_bytes(make_counters(this->registry,
                                   "spokesail_control_bytes_total",
-                                  "Bytes among entry hosts, by direction")),
+                                  "Bytes between entry hosts, by direction")),
       outcomes(make_counters(this->registry, "spokesail_requests_total",
                              "Ended requests, by outcome and code")),
       attempts(make_counters(this->registry, "spokesail_attempts_total",
-                             "Ended attempts, by how they ended")),
+                             "Ended attempts, by result")),
       events(make_counters(this->registry, "spokesail_events_total",
-                           "Events that the reducer took")
+                           "Events processed by the reducer")
                  .Add({})),
       tokens(make_counters(this->registry, "spokesail_tokens_total",
-                           "Tokens passed on to callers")
+                           "Tokens sent to callers")
                  .Add({})),
       first_token(prometheus::BuildHistogram()
                       .Name("spokesail_first_token_seconds")
-                      .Help("From a request's arrival to its first token")
+                      .Help("Time from a request's arrival to its first token")
                       .Register(this->registry)
                       .Add({}, first_token_buckets)),
       state(prometheus::BuildGauge()
                 .Name("spokesail_state")
-                .Help("Counts of the node's state, by name")
+                .Help("Gauges of the node's state, by name")
                 .Register(this->registry)) {}
 
 void metrics::count_platform_call(const std::string& verb) {
--- a/src/metrics.h
+++ b/src/metrics.h
@@ -1,4 +1,4 @@
-// The node's metrics, in Prometheus' text format.
+// Metrics of a node in the Prometheus text format.
 #pragma once
 
 #include <prometheus/counter.h>
@@ -13,7 +13,7 @@
 
 namespace spokesail {
 
-/// All counters, gauges and histograms of one node. Safe from any thread.
+/// All counters, gauges and histograms of one node. Thread-safe.
 class metrics {
  public:
   metrics();
@@ -27,7 +27,7 @@
   void count_tokens(size_t n);
   void set(const gauges_effect& gauges);
 
-  /// All metrics as text.
+  /// All metrics in the text format.
   std::string text() const;
 
  private:
--- a/src/sse.cc
+++ b/src/sse.cc
@@ -9,8 +9,8 @@
 namespace spokesail {
 namespace {
 
-/// No single event of an answer is larger than this, in bytes.
-constexpr size_t largest_event = 1 << 20;
+/// Maximum size of one event in bytes.
+constexpr size_t max_event_bytes = 1 << 20;
 
 }  // namespace
 
@@ -29,7 +29,7 @@
     }
     if (!payload.empty() && !on_data(payload)) return false;
   }
-  return this->buffer.size() <= largest_event;
+  return this->buffer.size() <= max_event_bytes;
 }
 
 std::string sse_event(const std::string& data) {
--- a/src/sse.h
+++ b/src/sse.h
@@ -1,4 +1,4 @@
-// Server-sent events as model engines stream them.
+// Server-sent events, in the form that model engines stream.
 #pragma once
 
 #include <functional>
@@ -6,11 +6,11 @@
 
 namespace spokesail {
 
-/// Splits a byte stream into the data of its events.
+/// Incremental parser that splits a byte stream into the data of its events.
 class sse_parser {
  public:
-  /// Takes bytes and calls `on_data` for the data of each event that is
-  /// complete. False if `on_data` returned false or an event is too large.
+  /// Adds bytes and calls `on_data` for the data of each event they complete.
+  /// Returns false if `on_data` did or an event is too large.
   bool feed(const char* data, size_t size,
             const std::function<bool(const std::string&)>& on_data);
 
@@ -18,7 +18,7 @@
   std::string buffer;
 };
 
-/// One event with `data`.
+/// Formats one event with `data`.
 std::string sse_event(const std::string& data);
 
 }  // namespace spokesail
--- a/src/yaml.cc
+++ b/src/yaml.cc
@@ -9,7 +9,7 @@
 namespace spokesail {
 namespace {
 
-std::string shown(const YAML::Node& node) {
+std::string describe_value(const YAML::Node& node) {
   if (!node.IsDefined() || node.IsNull()) return "nothing";
   if (node.IsScalar()) return node.Scalar();
   return node.IsMap() ? "a map" : "a list";
@@ -49,8 +49,9 @@
   if (this->node.IsMap() && this->node[key].IsDefined()) {
     at = this->node[key].Mark().line + 1;
   }
-  const std::string full = this->path.empty() ? key : this->path + "." + key;
-  this->faults->push_back({this->file, at, full, given, allowed});
+  const std::string full_path =
+      this->path.empty() ? key : this->path + "." + key;
+  this->faults->push_back({this->file, at, full_path, given, allowed});
 }
 
 bool yaml_map::has(const std::string& key) const {
@@ -58,7 +59,7 @@
 }
 
 YAML::Node yaml_map::get(const std::string& key) {
-  this->known.insert(key);
+  this->known_keys.insert(key);
   if (!this->has(key)) return YAML::Node(YAML::NodeType::Undefined);
   return this->node[key];
 }
@@ -68,17 +69,17 @@
   const YAML::Node value = this->get(key);
   if (!value.IsDefined()) return fallback;
   if (value.IsScalar()) return value.Scalar();
-  this->fault(key, shown(value), "a text");
+  this->fault(key, describe_value(value), "a string");
   return fallback;
 }
 
 std::string yaml_map::name(const std::string& key) {
   std::string value = this->text(key, "");
-  const bool plain =
+  const bool valid =
       value.find_first_not_of(
           "abcdefghijklmnopqrstuvwxyz"
           "ABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.") == std::string::npos;
-  if (value.empty() || !plain) {
+  if (value.empty() || !valid) {
     this->fault(key, value.empty() ? "nothing" : value,
                 "a name of letters, digits, '-', '_' and '.'");
   }
@@ -96,26 +97,26 @@
 }
 
 int64_t yaml_map::integer(const std::string& key, int64_t fallback,
-                          int64_t least, int64_t most) {
+                          int64_t min_value, int64_t max_value) {
   const YAML::Node value = this->get(key);
   if (!value.IsDefined()) return fallback;
   int64_t parsed = 0;
   const bool ok = value.IsScalar() && absl::SimpleAtoi(value.Scalar(), &parsed);
-  if (ok && parsed >= least && parsed <= most) return parsed;
-  this->fault(key, shown(value),
-              absl::StrCat("a whole number from ", least, " to ", most));
+  if (ok && parsed >= min_value && parsed <= max_value) return parsed;
+  this->fault(key, describe_value(value),
+              absl::StrCat("an integer from ", min_value, " to ", max_value));
   return fallback;
 }
 
-double yaml_map::number(const std::string& key, double fallback, double least,
-                        double most) {
+double yaml_map::number(const std::string& key, double fallback,
+                        double min_value, double max_value) {
   const YAML::Node value = this->get(key);
   if (!value.IsDefined()) return fallback;
   double parsed = 0;
   const bool ok = value.IsScalar() && absl::SimpleAtod(value.Scalar(), &parsed);
-  if (ok && parsed >= least && parsed <= most) return parsed;
-  this->fault(key, shown(value),
-              absl::StrCat("a number from ", least, " to ", most));
+  if (ok && parsed >= min_value && parsed <= max_value) return parsed;
+  this->fault(key, describe_value(value),
+              absl::StrCat("a number from ", min_value, " to ", max_value));
   return fallback;
 }
 
@@ -126,15 +127,15 @@
   if (value.IsScalar() && absl::SimpleAtob(value.Scalar(), &parsed)) {
     return parsed;
   }
-  this->fault(key, shown(value), "true or false");
+  this->fault(key, describe_value(value), "true or false");
   return fallback;
 }
 
 absl::Duration yaml_map::milliseconds(const std::string& key,
-                                      absl::Duration fallback, int64_t least,
-                                      int64_t most) {
-  return absl::Milliseconds(
-      this->integer(key, absl::ToInt64Milliseconds(fallback), least, most));
+                                      absl::Duration fallback,
+                                      int64_t min_value, int64_t max_value) {
+  return absl::Milliseconds(this->integer(
+      key, absl::ToInt64Milliseconds(fallback), min_value, max_value));
 }
 
 std::vector<std::string> yaml_map::texts(
@@ -148,18 +149,19 @@
     if (ok) all.push_back(value[i].Scalar());
   }
   if (ok) return all;
-  this->fault(key, shown(value), "a list of texts");
+  this->fault(key, describe_value(value), "a list of strings");
   return fallback;
 }
 
 std::map<std::string, int> yaml_map::integers(const std::string& key,
-                                              int64_t least, int64_t most) {
+                                              int64_t min_value,
+                                              int64_t max_value) {
   std::map<std::string, int> all;
   yaml_map inner = this->map(key);
   if (!inner.node.IsMap()) return all;
   for (const auto& pair : inner.node) {
     const std::string name = pair.first.Scalar();
-    all[name] = static_cast<int>(inner.integer(name, 0, least, most));
+    all[name] = static_cast<int>(inner.integer(name, 0, min_value, max_value));
   }
   return all;
 }
@@ -169,14 +171,14 @@
   std::vector<yaml_map> all;
   if (!value.IsDefined()) return all;
   if (!value.IsSequence()) {
-    this->fault(key, shown(value), "a list of maps");
+    this->fault(key, describe_value(value), "a list of maps");
     return all;
   }
   for (size_t i = 0; i < value.size(); i++) {
     std::string at = absl::StrCat(this->path.empty() ? "" : this->path + ".",
                                   key, "[", i, "]");
     if (!value[i].IsMap()) {
-      this->fault(key, shown(value[i]), "a list of maps");
+      this->fault(key, describe_value(value[i]), "a list of maps");
       continue;
     }
     all.emplace_back(value[i], this->file, std::move(at), *this->faults);
@@ -188,7 +190,7 @@
   const YAML::Node value = this->get(key);
   std::string at = this->path.empty() ? key : this->path + "." + key;
   if (value.IsDefined() && !value.IsMap()) {
-    this->fault(key, shown(value), "a map");
+    this->fault(key, describe_value(value), "a map");
     return {YAML::Node(), this->file, std::move(at), *this->faults};
   }
   return {value, this->file, std::move(at), *this->faults};
@@ -197,14 +199,15 @@
 void yaml_map::finish() {
   if (!this->node.IsMap()) return;
   std::string allowed;
-  for (const auto& key : this->known) {
+  for (const auto& key : this->known_keys) {
     absl::StrAppend(&allowed, allowed.empty() ? "" : ", ", key);
   }
   for (const auto& pair : this->node) {
     const std::string key = pair.first.IsScalar() ? pair.first.Scalar() : "?";
-    if (this->known.count(key) != 0) continue;
-    const std::string full = this->path.empty() ? key : this->path + "." + key;
-    this->faults->push_back({this->file, pair.first.Mark().line + 1, full,
+    if (this->known_keys.count(key) != 0) continue;
+    const std::string full_path =
+        this->path.empty() ? key : this->path + "." + key;
+    this->faults->push_back({this->file, pair.first.Mark().line + 1, full_path,
                              "an unknown key", "one of " + allowed});
   }
 }
@@ -213,21 +216,21 @@
   try {
     YAML::Node node = YAML::LoadFile(file);
     if (node.IsMap()) return node;
-    faults.push_back({file, 1, "", shown(node), "a map"});
+    faults.push_back({file, 1, "", describe_value(node), "a map"});
   } catch (const YAML::ParserException& e) {
     faults.push_back({file, e.mark.line + 1, "", e.msg, "valid YAML"});
   } catch (const YAML::BadFile&) {
-    faults.push_back({file, 0, "", "no readable file", "a YAML file"});
+    faults.push_back({file, 0, "", "an unreadable file", "a YAML file"});
   }
   return {};
 }
 
-std::string describe(const yaml_fault& fault) {
-  std::string text = fault.file;
-  if (fault.line > 0) absl::StrAppend(&text, ":", fault.line);
+std::string describe(const yaml_fault& error) {
+  std::string text = error.file;
+  if (error.line > 0) absl::StrAppend(&text, ":", error.line);
   absl::StrAppend(&text, ": ");
-  if (!fault.key.empty()) absl::StrAppend(&text, fault.key, ": ");
-  absl::StrAppend(&text, "given ", fault.given, ", allowed: ", fault.allowed);
+  if (!error.key.empty()) absl::StrAppend(&text, error.key, ": ");
+  absl::StrAppend(&text, "given ", error.given, ", allowed: ", error.allowed);
   return text;
 }
 
--- a/test/explain-test.cc
+++ b/test/explain-test.cc
@@ -5,7 +5,7 @@
 namespace spokesail {
 namespace {
 
-TEST(explain, reads_quoted_values_and_what_stands_before_a_line) {
+TEST(explain, parses_quoted_values_and_skips_a_prefix) {
   const auto r = parse_log_line(
       R"(  3.66 n1 time=T1 node=n1 event=x why="a \"b\" c" group="" k=v)");
   EXPECT_EQ(r.time, "T1");
@@ -36,28 +36,28 @@
   return out;
 }
 
-TEST(explain, tells_a_requests_lines_with_what_was_believed_then) {
-  const auto told = explain_request("r1", records());
-  ASSERT_EQ(told.lines.size(), 5U);
-  EXPECT_EQ(told.lines[0].substr(0, 17), "T0 n2 lease_taken");
-  EXPECT_EQ(told.lines[1].substr(0, 21), "T1 n1 config_in_force");
-  EXPECT_EQ(told.lines[2].substr(0, 21), "T3 n2 group_dissolved");
-  EXPECT_EQ(told.lines[3].substr(0, 19), "T4 n1 attempt_ended");
-  EXPECT_EQ(told.lines[4].substr(0, 19), "T5 n1 request_ended");
+TEST(explain, lists_the_requests_lines_and_earlier_state_changes) {
+  const auto result = explain_request("r1", records());
+  ASSERT_EQ(result.lines.size(), 5U);
+  EXPECT_EQ(result.lines[0].substr(0, 17), "T0 n2 lease_taken");
+  EXPECT_EQ(result.lines[1].substr(0, 21), "T1 n1 config_in_force");
+  EXPECT_EQ(result.lines[2].substr(0, 21), "T3 n2 group_dissolved");
+  EXPECT_EQ(result.lines[3].substr(0, 19), "T4 n1 attempt_ended");
+  EXPECT_EQ(result.lines[4].substr(0, 19), "T5 n1 request_ended");
 }
 
-TEST(explain, says_the_cause_in_a_sentence) {
-  const auto told = explain_request("r1", records());
-  EXPECT_NE(told.cause.find("status 502 because: server broke off"),
+TEST(explain, states_the_cause_in_a_sentence) {
+  const auto result = explain_request("r1", records());
+  EXPECT_NE(result.cause.find("status 502 because: server broke off"),
             std::string::npos);
   EXPECT_NE(
-      told.cause.find("server s1 of group m.5 and ended broken (stalled)"),
+      result.cause.find("server s1 of group m.5 and ended broken (stalled)"),
       std::string::npos);
-  EXPECT_NE(told.cause.find("configuration 7, proved 300 ms before"),
+  EXPECT_NE(result.cause.find("configuration 7, verified 300 ms before"),
             std::string::npos);
 }
 
-TEST(explain, says_nothing_of_a_request_that_no_log_names) {
+TEST(explain, has_no_cause_for_an_unknown_request) {
   EXPECT_EQ(explain_request("r9", records()).cause, "");
 }
 
--- a/test/losses-test.cc
+++ b/test/losses-test.cc
@@ -1,4 +1,4 @@
-// Which requests were not served in time, and why, by recorded lines.
+// Classification of requests that were not served in time, from log lines.
 #include "losses.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace spokesail {
 namespace {
 
-/// A line about a stream that was answered, but for `fields`.
+/// The end of an answered stream, with the further `fields`.
 log_record answered(const std::string& fields, const std::string& time = "00") {
   return parse_log_line(
       "time=2026-10-16T19:20:" + time +
@@ -15,30 +15,30 @@
       fields);
 }
 
-TEST(loss_cause, is_empty_for_what_was_served_in_time) {
+TEST(loss_cause, is_empty_for_requests_served_in_time) {
   EXPECT_EQ(loss_cause(answered("sends=1 first_ms=300 pause_ms=200")), "");
   EXPECT_EQ(loss_cause(parse_log_line("time=T node=n1 event=ready")), "");
 }
 
-TEST(loss_cause, tells_why_a_first_event_was_late) {
+TEST(loss_cause, explains_a_late_first_event) {
   EXPECT_EQ(loss_cause(answered("sends=2 first_ms=301 pause_ms=1")),
-            "first event late: sent again");
+            "first event late: retried");
   EXPECT_EQ(loss_cause(answered("sends=1 wait_ms=60 first_ms=301")),
-            "first event late: waited at the node");
+            "first event late: queued at the node");
   EXPECT_EQ(loss_cause(answered("sends=1 predicted_ms=310 first_ms=340")),
             "first event late: as predicted");
   EXPECT_EQ(loss_cause(answered("sends=1 predicted_ms=90 first_ms=340")),
             "first event late: later than predicted");
 }
 
-TEST(loss_cause, tells_a_pause_by_where_the_stream_went_on) {
+TEST(loss_cause, explains_a_pause_with_and_without_a_retry) {
   EXPECT_EQ(loss_cause(answered("sends=2 first_ms=9 pause_ms=201")),
-            "pause too long: went on at another group");
+            "pause too long: resumed at another group");
   EXPECT_EQ(loss_cause(answered("sends=1 first_ms=9 pause_ms=201")),
             "pause too long: in one group");
 }
 
-TEST(loss_cause, tells_plain_calls_and_refusals) {
+TEST(loss_cause, explains_plain_calls_and_refusals) {
   const std::string head =
       "time=T node=n1 event=request_ended id=r1 route=look due_ms=100 "
       "longest_gap_ms=\"\" ";
@@ -64,7 +64,7 @@
   const loss_report report = count_losses(records);
   EXPECT_EQ(report.all, (loss_count{3, 2}));
   const std::map<std::string, int> routes = {{"draft", 2}};
-  EXPECT_EQ(report.by_cause.at("first event late: sent again"), routes);
+  EXPECT_EQ(report.by_cause.at("first event late: retried"), routes);
   EXPECT_EQ(report.by_second.at(0), (loss_count{1, 0}));
   EXPECT_EQ(report.by_second.at(2), (loss_count{2, 2}));
 }
@@ -78,7 +78,7 @@
   EXPECT_NE(text.find("1 #########################\n"), std::string::npos);
 }
 
-TEST(loss_text, says_that_there_were_no_requests) {
+TEST(loss_text, reports_zero_requests) {
   EXPECT_NE(loss_text(count_losses({})).find("0 requests"), std::string::npos);
 }
 
