--- a/test/fake-hall.cc
+++ b/test/fake-hall.cc
@@ -11,11 +11,11 @@
 
 constexpr char hall_name[] = "hall";
 constexpr absl::Duration tick_period = absl::Milliseconds(50);
-constexpr absl::Duration call_limit = absl::Seconds(1);
+constexpr absl::Duration call_timeout = absl::Seconds(1);
 constexpr absl::Duration check_period = absl::Milliseconds(50);
 
-/// How much longer than the window an open group's member may be gone: one
-/// probe, one beat and their way.
+/// How much longer than the presence window a member of an open group may be
+/// missing: one probe, one heartbeat and their latency.
 constexpr absl::Duration detection_slack = absl::Milliseconds(300);
 
 std::string node_name(size_t i) { return absl::StrCat("n", i); }
@@ -67,7 +67,7 @@
   node.alive = true;
   node.exited = false;
   node.watching = false;
-  node.held.clear();
+  node.deferred.clear();
   node.generation++;
   for (size_t j = 0; j < this->nodes.size(); j++) {
     node.state.members.add_address(hall_name, absl::StrCat("peer", j));
@@ -88,9 +88,9 @@
   this->after(duration, [this, i] {
     fake_node& node = this->nodes[i];
     if (this->now < node.paused_until) return;
-    std::vector<event_body> held;
-    held.swap(node.held);
-    for (const auto& body : held) this->take(i, body);
+    std::vector<event_body> deferred;
+    deferred.swap(node.deferred);
+    for (const auto& body : deferred) this->handle(i, body);
   });
 }
 
@@ -143,7 +143,7 @@
     fake_node& node = this->nodes[i];
     if (!node.watching) continue;
     if (node.cut_from_platform || this->platform_down) {
-      node.list_again = true;
+      node.needs_relist = true;
       continue;
     }
     if (o.key.kind == kinds::bundle || o.key.kind == kinds::audit) continue;
@@ -165,8 +165,8 @@
 }
 
 bool fake_hall::run_until(const std::function<bool()>& done,
-                          absl::Duration limit) {
-  const absl::Time end = this->now + limit;
+                          absl::Duration timeout) {
+  const absl::Time end = this->now + timeout;
   absl::Time next_check = this->now;
   while (this->now < end) {
     if (done()) return true;
@@ -180,7 +180,7 @@
     this->measure(until - next_check);
     this->now = until;
     next_check = until;
-    this->settle_hosts();
+    this->update_hosts();
     this->check();
   }
   return done();
@@ -190,27 +190,27 @@
   fake_node& node = this->nodes[i];
   if (!node.alive) return;
   if (this->now < node.paused_until) {
-    node.held.push_back(std::move(body));
+    node.deferred.push_back(std::move(body));
     return;
   }
-  this->take(i, body);
+  this->handle(i, body);
 }
 
-void fake_hall::take(size_t i, const event_body& body) {
+void fake_hall::handle(size_t i, const event_body& body) {
   fake_node& node = this->nodes[i];
   if (!node.alive) return;
   this->events++;
   auto result = reduce(std::move(node.state), {this->now, body});
   node.state = std::move(result.state);
-  for (const auto& e : result.effects) this->carry_out(i, e);
+  for (const auto& e : result.effects) this->execute(i, e);
 }
 
 void fake_hall::tick(size_t i, uint64_t generation) {
   if (this->nodes[i].generation != generation) return;
   const fake_node& node = this->nodes[i];
   if (this->now >= node.paused_until) {
-    if (node.watching && node.list_again) this->send_lists(i, true);
-    this->take(i, tick_event{});
+    if (node.watching && node.needs_relist) this->send_lists(i, true);
+    this->handle(i, tick_event{});
   }
   this->after(tick_period,
               [this, i, generation] { this->tick(i, generation); });
@@ -228,10 +228,10 @@
 void fake_hall::send_lists(size_t i, bool with_lease) {
   fake_node& node = this->nodes[i];
   if (node.cut_from_platform || this->platform_down) {
-    node.list_again = true;
+    node.needs_relist = true;
     return;
   }
-  node.list_again = false;
+  node.needs_relist = false;
   for (const char* kind : {kinds::config, kinds::host, kinds::placement,
                            kinds::drain, kinds::lease}) {
     if (!with_lease && kind == std::string(kinds::lease)) continue;
@@ -244,7 +244,7 @@
   }
 }
 
-void fake_hall::carry_out(size_t i, const effect& e) {
+void fake_hall::execute(size_t i, const effect& e) {
   fake_node& node = this->nodes[i];
   if (const auto* watch = std::get_if<watch_effect>(&e)) {
     node.watching = watch->enabled;
@@ -326,23 +326,25 @@
 
 void fake_hall::do_call(size_t i, const platform_effect& e) {
   this->platform_calls++;
-  const bool away = this->platform_down || this->nodes[i].cut_from_platform;
+  const bool platform_unreachable =
+      this->platform_down || this->nodes[i].cut_from_platform;
   const auto answer_later = [this, i, e](absl::Duration delay,
                                          const platform_answer& answer) {
     this->after(delay, [this, i, e, answer] {
       this->deliver(i, platform_event{e.owner, answer});
     });
   };
-  if (away) {
-    answer_later(call_limit, {});
+  if (platform_unreachable) {
+    answer_later(call_timeout, {});
     return;
   }
   this->after(this->latency(), [this, e, answer_later] {
     const platform_answer answer = this->apply_call(e.call);
-    const bool lose = e.call.kind == call_kind::write && this->lose_answers > 0;
-    if (lose) this->lose_answers--;
-    answer_later(lose ? call_limit : this->latency(),
-                 lose ? platform_answer{} : answer);
+    const bool drop_answer =
+        e.call.kind == call_kind::write && this->lose_answers > 0;
+    if (drop_answer) this->lose_answers--;
+    answer_later(drop_answer ? call_timeout : this->latency(),
+                 drop_answer ? platform_answer{} : answer);
   });
 }
 
@@ -374,20 +376,20 @@
 }
 
 void fake_hall::do_order(size_t i, const order& o) {
-  // The executor's own check, just before sending.
+  // The daemon makes the same check just before it sends an order.
   if (this->now >= o.not_after) return;
   this->after(this->order_delay, [this, i, o] {
     fake_host& host = this->hosts[o.host];
     order_status status = order_status::unreachable;
     if (host.alive && this->now >= host.paused_until) {
-      const bool old = o.fence < host.report.fence;
+      const bool stale = o.fence < host.report.fence;
       status = order_status::accepted;
-      if (old && host.info.checks_fencing) {
-        host.old_orders_refused++;
+      if (stale && host.info.checks_fencing) {
+        host.stale_orders_refused++;
         status = order_status::refused;
       } else {
-        if (old) host.old_orders_taken++;
-        this->take_order(o);
+        if (stale) host.stale_orders_accepted++;
+        this->apply_order(o);
       }
     }
     this->after(this->latency(), [this, i, o, status] {
@@ -396,7 +398,7 @@
   });
 }
 
-void fake_hall::take_order(const order& o) {
+void fake_hall::apply_order(const order& o) {
   fake_host& host = this->hosts[o.host];
   host_report& report = host.report;
   report.fence = std::max(report.fence, o.fence);
@@ -416,25 +418,27 @@
   report.version = o.version;
   report.adapters = o.adapters;
   report.phase = host_phase::loading;
-  const absl::Time regrouped = this->now + this->options.regroup_time;
+  const absl::Time regrouped_at = this->now + this->options.regroup_time;
   if (!warm) {
     host.ready_at = this->now + this->options.load_time;
   } else {
-    // Weights that are still on their way are not loaded twice.
-    host.ready_at = loading ? std::max(host.ready_at, regrouped) : regrouped;
+    // Weights that are still loading are not loaded again.
+    host.ready_at =
+        loading ? std::max(host.ready_at, regrouped_at) : regrouped_at;
   }
 }
 
-void fake_hall::settle_hosts() {
+void fake_hall::update_hosts() {
   for (auto& [name, host] : this->hosts) {
     host_report& report = host.report;
     if (report.phase == host_phase::loading && this->now >= host.ready_at) {
       report.phase =
           report.group.empty() ? host_phase::idle : host_phase::ready;
     }
-    const bool stands = host.alive && report.phase == host_phase::ready &&
-                        this->now >= host.paused_until;
-    if (stands) host.stood[{report.group, report.incarnation}] = this->now;
+    const bool is_ready = host.alive && report.phase == host_phase::ready &&
+                          this->now >= host.paused_until;
+    if (is_ready)
+      host.last_ready[{report.group, report.incarnation}] = this->now;
   }
 }
 
@@ -484,7 +488,7 @@
   fake_host* host = this->host_at(start.target.address);
   const bool same = static_cast<uint64_t>(host->boots) == boots;
   if (same && host->running > 0) host->running--;
-  // A paused host answers when it runs again.
+  // A paused host responds when it resumes.
   if (this->now < host->paused_until && host->alive) {
     if (same) host->running++;
     this->after(host->paused_until - this->now, [this, i, start, boots] {
@@ -492,23 +496,23 @@
     });
     return;
   }
-  bool whole = host->alive && same;
+  bool completed = host->alive && same;
   for (const auto& [name, other] : this->hosts) {
     const bool member = other.report.group == start.target.name;
-    if (member && !other.alive) whole = false;
+    if (member && !other.alive) completed = false;
   }
-  if (host->report.incarnation != start.target.incarnation) whole = false;
+  if (host->report.incarnation != start.target.incarnation) completed = false;
   this->deliver(
-      i,
-      attempt_event{start.request, start.attempt,
-                    whole ? attempt_end::whole : attempt_end::broken, false});
+      i, attempt_event{start.request, start.attempt,
+                       completed ? attempt_end::whole : attempt_end::broken,
+                       false});
 }
 
 int fake_hall::leader() const {
   for (size_t i = 0; i < this->nodes.size(); i++) {
     const fake_node& node = this->nodes[i];
-    const bool runs = node.alive && this->now >= node.paused_until;
-    if (runs && node.state.hall_controller.leads(this->now)) {
+    const bool running = node.alive && this->now >= node.paused_until;
+    if (running && node.state.hall_controller.leads(this->now)) {
       return static_cast<int>(i);
     }
   }
@@ -535,15 +539,16 @@
   for (const auto& host : shared_hosts(doc)) {
     this->violations.insert("placement shares host " + host);
   }
-  int64_t& fence = this->seen_fence[hall_name];
-  if (doc.fence < fence) this->violations.insert("fence went back");
+  int64_t& fence = this->highest_fence[hall_name];
+  if (doc.fence < fence) this->violations.insert("fence decreased");
   fence = std::max(fence, doc.fence);
-  int leading = 0;
+  int holders = 0;
   for (const auto& node : this->nodes) {
-    // A paused holder that thinks it leads does nothing until it runs.
-    const bool runs = node.alive && this->now >= node.paused_until;
-    leading += runs && node.state.hall_controller.leads(this->now);
-    if (!runs) continue;
+    // A paused node that still considers itself the lease holder does nothing
+    // until it resumes.
+    const bool running = node.alive && this->now >= node.paused_until;
+    holders += running && node.state.hall_controller.leads(this->now);
+    if (!running) continue;
     std::set<std::string> used;
     for (const auto& g : node.state.groups.groups) {
       if (!group_open(node.state, g, this->now)) continue;
@@ -552,17 +557,18 @@
           this->violations.insert("two open groups share host " + name);
         }
         const fake_host& host = this->hosts.at(name);
-        const auto stood = host.stood.find({g.name, g.incarnation});
+        const auto last_ready = host.last_ready.find({g.name, g.incarnation});
         const absl::Duration allowed =
             node.state.options.presence_window + detection_slack;
-        if (stood == host.stood.end() || this->now - stood->second > allowed) {
+        if (last_ready == host.last_ready.end() ||
+            this->now - last_ready->second > allowed) {
           this->violations.insert("group " + g.name +
                                   " is open without member " + name);
         }
       }
     }
   }
-  if (leading > 1) this->violations.insert("two nodes lead");
+  if (holders > 1) this->violations.insert("two nodes hold the lease");
   for (const auto& [id, r] : this->requests) {
     if (r.ends.size() > 1) {
       this->violations.insert(absl::StrCat("request ", id, " ended twice"));
--- a/test/fake-hall.h
+++ b/test/fake-hall.h
@@ -1,5 +1,5 @@
-// Small fakes at the reducer's interfaces, in virtual time: a platform, the
-// hosts of one data hall, and the entry hosts' reducers between them.
+// Simulation of one data hall in virtual time: fakes of the platform and of the
+// hosts, and the reducers of the entry hosts.
 #pragma once
 
 #include <functional>
@@ -13,7 +13,7 @@
 
 namespace spokesail::test {
 
-/// A fake backend server of an engine host.
+/// A simulated engine host with its backend server.
 struct fake_host {
   host_info info;
   bool alive = true;
@@ -22,14 +22,14 @@
   absl::Time ready_at = absl::InfinitePast();
   int running = 0;
   int64_t boots = 0;
-  /// When it last stood ready in each group and incarnation.
-  std::map<std::pair<std::string, int64_t>, absl::Time> stood;
-  /// Orders with an old number that it took, or was asked to take.
-  int old_orders_taken = 0;
-  int old_orders_refused = 0;
+  /// When it was last ready as a member of each group and incarnation.
+  std::map<std::pair<std::string, int64_t>, absl::Time> last_ready;
+  /// Orders with a stale fencing number that it accepted or refused.
+  int stale_orders_accepted = 0;
+  int stale_orders_refused = 0;
 };
 
-/// One entry host's process.
+/// A simulated entry host.
 struct fake_node {
   node_state state;
   bool alive = true;
@@ -37,27 +37,31 @@
   bool cut_from_platform = false;
   bool cut_from_peers = false;
   bool watching = false;
-  /// Its watch broke: it lists again when the platform can be reached.
-  bool list_again = false;
+  /// Its watch failed: it has to list again once the platform is reachable.
+  bool needs_relist = false;
   bool exited = false;
-  std::vector<event_body> held;
+  /// Events that arrived while the node was paused.
+  std::vector<event_body> deferred;
+  /// Changes with each start and kill, so that timers of an earlier start are
+  /// ignored.
   uint64_t generation = 0;
 };
 
-/// A request's story: attempts that a host ran, and its end.
+/// A request: the number of attempts that hosts ran, and its outcomes, of which
+/// there must be only one.
 struct fake_request {
   int runs = 0;
   bool repeatable = true;
   std::vector<outcome> ends;
 };
 
-/// Shape of a fake hall.
+/// Parameters of a simulated hall.
 struct fake_options {
   int nodes = 3;
   int domains = 2;
   int hosts_per_domain = 4;
   int accelerators = 8;
-  /// Every host of an odd domain ignores fencing numbers.
+  /// The hosts of odd-numbered domains ignore fencing numbers.
   bool some_ignore_fencing = true;
   absl::Duration load_time = absl::Seconds(5);
   absl::Duration regroup_time = absl::Milliseconds(100);
@@ -66,24 +70,25 @@
   node_options node;
 };
 
-/// One data hall in virtual time.
+/// A data hall in virtual time.
 class fake_hall {
  public:
   explicit fake_hall(const fake_options& options);
 
-  /// Runs until `duration` has passed; checks what must hold on the way.
+  /// Runs for `duration` and checks the invariants on the way.
   void run_for(absl::Duration duration);
-  /// Runs until `done`, at most for `limit`. Gives whether it became so.
-  bool run_until(const std::function<bool()>& done, absl::Duration limit);
+  /// Runs until `done` returns true, at most for `timeout`. Returns whether it
+  /// did.
+  bool run_until(const std::function<bool()>& done, absl::Duration timeout);
 
-  /// Accepts a configuration, as an operator would.
+  /// Makes `config` the accepted configuration, like an operator.
   void accept(const configuration& config);
-  /// Writes one object, as the platform itself would.
+  /// Writes one object to the platform.
   void put(const object_key& key, const std::string& body);
   void erase(const object_key& key);
 
   void kill_node(size_t i);
-  /// Starts a node anew, with nothing kept.
+  /// Restarts a node without any of its earlier state.
   void start_node(size_t i);
   void pause_node(size_t i, absl::Duration duration);
   void kill_host(const std::string& name);
@@ -91,14 +96,15 @@
   void pause_host(const std::string& name, absl::Duration duration);
   void set_leaving(const std::string& name);
 
-  /// Sends a request in at a node. Gives its id.
+  /// Sends a request to a node. Returns the request's id.
   uint64_t request(size_t node, const std::string& model, bool repeatable,
                    absl::Duration deadline = absl::Seconds(30));
 
-  /// The node that leads the hall, or -1.
+  /// The node that holds the hall's lease, or -1.
   int leader() const;
-  /// Groups of the model that are open at a node.
+  /// Number of groups of the model that are open according to a node.
   int open_groups(size_t node, const std::string& model) const;
+  /// The placement stored in the platform.
   placement document() const;
 
   absl::Time now;
@@ -109,17 +115,18 @@
   std::map<object_key, object> objects;
   int64_t version = 0;
   bool platform_down = false;
-  /// The next writes take effect, but their answers are lost.
+  /// How many of the next writes take effect but get no response.
   int lose_answers = 0;
-  /// Orders take this long on their way.
+  /// Latency of orders.
   absl::Duration order_delay = absl::Milliseconds(1);
   int64_t platform_calls = 0;
   int64_t heartbeats = 0;
   int64_t events = 0;
-  /// What should never happen, as it was seen.
+  /// Violations of the invariants that were observed.
   std::set<std::string> violations;
   /// Group-seconds of wanted replicas that were not open, and accelerator-
-  /// seconds of live hosts outside open groups, as the first live node saw it.
+  /// seconds of live hosts outside open groups, according to the first live
+  /// node.
   double downtime = 0;
   double stranded = 0;
 
@@ -135,19 +142,19 @@
 
   void after(absl::Duration delay, std::function<void()> run);
   void deliver(size_t node, event_body body);
-  void take(size_t node, const event_body& body);
+  void handle(size_t node, const event_body& body);
   void tick(size_t node, uint64_t generation);
-  void carry_out(size_t node, const effect& e);
+  void execute(size_t node, const effect& e);
   void send_lists(size_t node, bool with_lease);
   void do_call(size_t node, const platform_effect& e);
   platform_answer apply_call(const platform_call& call);
   void do_probe(size_t node, const probe_effect& e);
   void do_order(size_t node, const order& o);
-  void take_order(const order& o);
+  void apply_order(const order& o);
   void do_attempt(size_t node, const attempt_start& start);
   void end_attempt(size_t node, const attempt_start& start, uint64_t boots);
   void notify(const object& o);
-  void settle_hosts();
+  void update_hosts();
   void check();
   void measure(absl::Duration step);
   size_t node_at(const std::string& peer_address) const;
@@ -159,7 +166,7 @@
   uint64_t job_count = 0;
   uint64_t request_count = 0;
   random_stream random;
-  std::map<std::string, int64_t> seen_fence;
+  std::map<std::string, int64_t> highest_fence;
   std::set<std::string> cancelled;
   std::map<uint64_t, absl::Time> heartbeat_sent;
 };
--- a/test/history-check.cc
+++ b/test/history-check.cc
@@ -1,4 +1,5 @@
-// Reads the records of a run and prints breaches; exit code 1 if there are.
+// Checks the records of a run and prints each breach; exit code 1 if there is
+// any.
 #include <cstring>
 #include <iostream>
 
--- a/test/history-test.cc
+++ b/test/history-test.cc
@@ -1,5 +1,5 @@
-// The checker is itself checked: a sound history passes, and one broken in
-// each rule does not.
+// Tests of the history checker: a valid history passes, and one that breaks any
+// single rule is reported.
 #include "history.h"
 
 #include <gtest/gtest.h>
@@ -54,7 +54,7 @@
           {"revision", revision}};
 }
 
-history sound() {
+history valid_history() {
   return {placement(0, {"c"}),
           assign(1, "a", "g", 1),
           assign(1, "b", "g", 1),
@@ -67,7 +67,7 @@
 
 std::vector<std::string> breaches_with(const std::vector<json>& extra,
                                        bool planned_only = false) {
-  history all = sound();
+  history all = valid_history();
   all.insert(all.end(), extra.begin(), extra.end());
   history_options options;
   options.planned_only = planned_only;
@@ -80,50 +80,52 @@
   EXPECT_EQ(breaches[0].substr(0, rule.size()), rule);
 }
 
-TEST(history, a_sound_one_passes) { EXPECT_TRUE(breaches_with({}).empty()); }
+TEST(history, accepts_a_valid_history) {
+  EXPECT_TRUE(breaches_with({}).empty());
+}
 
-TEST(history, finds_a_group_without_all_members) {
+TEST(history, reports_a_group_without_all_members) {
   expect_rule(breaches_with({assign(2.5, "b", "", 0), run(9, "r9")}),
               "group without all members");
 }
 
-TEST(history, finds_a_host_in_two_groups) {
+TEST(history, reports_a_host_in_two_groups) {
   expect_rule(breaches_with({placement(5, {"b"})}), "host in two groups");
 }
 
-TEST(history, finds_a_wrong_answer) {
+TEST(history, reports_a_wrong_answer) {
   expect_rule(
       breaches_with({run(5, "r5"), request(6, "r5", "answered", false)}),
       "wrong or partial answer");
 }
 
-TEST(history, finds_an_answer_without_a_run) {
+TEST(history, reports_an_answer_without_a_run) {
   expect_rule(breaches_with({request(6, "r5", "answered")}),
               "answer without a run");
 }
 
-TEST(history, finds_a_refusal_of_what_ran) {
+TEST(history, reports_a_refused_request_that_ran) {
   expect_rule(breaches_with({run(5, "r5"), request(6, "r5", "refused")}),
               "refused but run");
 }
 
-TEST(history, finds_a_second_run) {
+TEST(history, reports_a_second_run) {
   expect_rule(
       breaches_with({run(5, "r5"), run(5, "r5"), request(6, "r5", "failed")}),
       "run more than once");
 }
 
-TEST(history, finds_work_for_a_leaving_server) {
+TEST(history, reports_work_for_a_leaving_server) {
   expect_rule(breaches_with({host_state(3, "b", "leaving"), run(7, "r9")}),
               "work for a leaving server");
 }
 
-TEST(history, finds_a_request_cut_off_by_a_planned_stop) {
+TEST(history, reports_a_request_lost_in_a_planned_stop) {
   expect_rule(breaches_with({request(6, "r5", "lost")}, true),
               "cut off by a planned stop");
 }
 
-TEST(history, finds_a_configuration_that_went_back) {
+TEST(history, reports_a_configuration_that_went_back) {
   expect_rule(breaches_with({in_force(5, 1)}), "configuration went back");
 }
 
--- a/test/history.cc
+++ b/test/history.cc
@@ -13,16 +13,16 @@
 
 using json = nlohmann::json;
 
-constexpr double micros = 1e6;
+constexpr double micros_per_second = 1e6;
 
-/// What a host held, from one moment on.
-struct holding {
+/// The group that a host belongs to from a point in time on.
+struct assignment {
   int64_t from = 0;
   std::string group;
   int64_t incarnation = 0;
 };
 
-/// Goes through the lines in order of time and notes each breach.
+/// Replays the lines in order of time and records each breach.
 class checker {
  public:
   checker(history all, const history_options& o)
@@ -33,7 +33,7 @@
   }
 
   std::vector<std::string> run() {
-    for (const auto& line : this->lines) this->take(line);
+    for (const auto& line : this->lines) this->handle(line);
     this->check_requests();
     return {this->breaches.begin(), this->breaches.end()};
   }
@@ -43,23 +43,24 @@
     this->breaches.insert(rule + ": " + what);
   }
 
-  void take(const json& line) {
+  void handle(const json& line) {
     const std::string e = line.value("e", "");
-    if (e == "boot") this->holdings[line["host"]].push_back({line["t"], "", 0});
+    if (e == "boot")
+      this->assignments[line["host"]].push_back({line["t"], "", 0});
     if (e == "assign") {
-      // Weights load first; from then on the host stands in the group.
+      // The host becomes a member of the group once the weights are loaded.
       const int64_t from = std::max(line["t"].get<int64_t>(),
                                     line.value("ready_at", int64_t{0}));
-      this->holdings[line["host"]].push_back(
+      this->assignments[line["host"]].push_back(
           {from, line["group"], line["incarnation"]});
     }
-    if (e == "change") this->take_change(line);
-    if (e == "run") this->take_run(line);
-    if (e == "in_force") this->take_in_force(line);
+    if (e == "change") this->handle_change(line);
+    if (e == "run") this->handle_run(line);
+    if (e == "in_force") this->handle_in_force(line);
     if (e == "request") this->requests.push_back(line);
   }
 
-  void take_change(const json& line) {
+  void handle_change(const json& line) {
     const json& spec = line["spec"];
     if (line["kind"] == "host") {
       const bool leaving = spec.value("state", "live") == "leaving";
@@ -79,11 +80,12 @@
     }
   }
 
-  /// Whether a host stood in a group at some time since `since`.
-  bool stood(const std::string& host, const std::string& group,
-             int64_t incarnation, int64_t since, int64_t until) const {
-    const auto it = this->holdings.find(host);
-    if (it == this->holdings.end()) return false;
+  /// Whether a host was a member of a group at any time from `since` to
+  /// `until`.
+  bool was_member(const std::string& host, const std::string& group,
+                  int64_t incarnation, int64_t since, int64_t until) const {
+    const auto it = this->assignments.find(host);
+    if (it == this->assignments.end()) return false;
     const auto& all = it->second;
     for (size_t i = 0; i < all.size(); i++) {
       const int64_t end = i + 1 < all.size() ? all[i + 1].from : until;
@@ -94,7 +96,7 @@
     return false;
   }
 
-  void take_run(const json& line) {
+  void handle_run(const json& line) {
     const std::string group = line.value("group", "");
     const int64_t at = line["t"];
     this->runs[line["request"]]++;
@@ -107,16 +109,16 @@
         return;
       }
       hosts = it->second;
-      const auto window =
-          static_cast<int64_t>(this->options.presence_window * micros);
+      const auto window = static_cast<int64_t>(this->options.presence_window *
+                                               micros_per_second);
       for (const auto& host : hosts) {
-        if (!this->stood(host, group, incarnation, at - window, at)) {
+        if (!this->was_member(host, group, incarnation, at - window, at)) {
           this->breach("group without all members", group + " lacks " + host);
         }
       }
     }
     const auto window =
-        static_cast<int64_t>(this->options.leaving_window * micros);
+        static_cast<int64_t>(this->options.leaving_window * micros_per_second);
     for (const auto& host : hosts) {
       const auto it = this->leaving.find(host);
       if (it != this->leaving.end() && at > it->second + window) {
@@ -125,8 +127,9 @@
     }
   }
 
-  void take_in_force(const json& line) {
-    // A process is one start of a node; it never goes back.
+  void handle_in_force(const json& line) {
+    // Each start of a node counts as its own process. Within one, the revision
+    // must not decrease.
     int64_t& last = this->in_force[line["node"]];
     const int64_t revision = line["revision"];
     if (revision < last) {
@@ -166,7 +169,7 @@
   history lines;
   history_options options;
   std::set<std::string> breaches;
-  std::map<std::string, std::vector<holding>> holdings;
+  std::map<std::string, std::vector<assignment>> assignments;
   std::map<std::pair<std::string, int64_t>, std::vector<std::string>> members;
   std::map<std::string, int64_t> leaving;
   std::map<std::string, int> runs;
@@ -196,7 +199,7 @@
   while (std::getline(in, line)) {
     if (line.empty()) continue;
     if (line[0] == '{') {
-      // A killed process may leave half a line.
+      // A killed process may leave an incomplete last line.
       json j = json::parse(line, nullptr, false);
       if (j.is_object()) out.push_back(std::move(j));
       continue;
--- a/test/history.h
+++ b/test/history.h
@@ -1,4 +1,4 @@
-// Checks the records of a concurrent run against what must always hold.
+// Checks the records of a concurrent run against the system's invariants.
 #pragma once
 
 #include <cstdint>
@@ -8,25 +8,26 @@
 
 namespace spokesail::test {
 
-/// One line of a record: of a caller ("request"), a backend server ("boot",
-/// "assign", "run"), the platform ("change") or an entry host ("in_force").
+/// The lines of a run's records. They come from callers ("request"), backend
+/// servers ("boot", "assign", "run"), the platform ("change") and entry hosts
+/// ("in_force").
 using history = std::vector<nlohmann::json>;
 
-/// What a checked run was like.
+/// Properties of the run that is checked.
 struct history_options {
-  /// Only planned stops: then nothing may fail or get lost.
+  /// The run had only planned stops, so no request may fail or be lost.
   bool planned_only = false;
-  /// A group may take requests this long after a member went, in seconds.
+  /// How long a group may accept requests after it lost a member, in seconds.
   double presence_window = 3;
-  /// A leaving server takes new work this long, in seconds.
+  /// How long a leaving server may accept new work, in seconds.
   double leaving_window = 3;
 };
 
-/// The breaches found, one line each; empty if all rules hold.
+/// Returns the breaches found, one line each; empty if all rules hold.
 std::vector<std::string> check_history(history lines,
                                        const history_options& options);
 
-/// The lines of a file: JSON texts, or an entry host's key=value log.
+/// Reads the lines of a file: JSON lines or an entry host's key=value log.
 history read_history(const std::string& file);
 
 }  // namespace spokesail::test
--- a/test/scale-bench.cc
+++ b/test/scale-bench.cc
@@ -1,5 +1,6 @@
-// What a node's work costs as the fleet grows: a step of the group controller,
-// a look at the sums in flight, the choice of a relay, and news of servers.
+// Cost of a node's work as the fleet grows: a step of the group controller,
+// totals of requests in flight, the choice of a relay, server changes, gossip,
+// and the allocation of hosts by demand.
 #include <absl/strings/str_cat.h>
 #include <benchmark/benchmark.h>
 
@@ -15,7 +16,7 @@
 
 using standin::fleet_emulator;
 
-constexpr int hosts_of_domain = 37;
+constexpr int hosts_per_domain = 37;
 constexpr int halls = 5;
 constexpr absl::Duration step_time = absl::Milliseconds(40);
 
@@ -35,14 +36,14 @@
   return {"lm", 1000, 0, engine};
 }
 
-/// A fleet of about `hosts` whose groups serve.
-class standing_fleet {
+/// An emulated fleet of about `hosts` whose groups are serving.
+class running_fleet {
  public:
-  explicit standing_fleet(int64_t hosts)
+  explicit running_fleet(int64_t hosts)
       : fleet(engine_service(), {}, 1), controller({}) {
     this->config.services = {engine_service()};
     for (int64_t i = 0; i < hosts; ++i) {
-      const int64_t domain = i / hosts_of_domain;
+      const int64_t domain = i / hosts_per_domain;
       this->fleet.add(absl::StrCat("d", domain), this->now, "10.0.0.1:80",
                       absl::StrCat("h", domain % halls));
     }
@@ -71,7 +72,7 @@
 };
 
 void controller_step(benchmark::State& state) {
-  standing_fleet run(state.range(0));
+  running_fleet run(state.range(0));
   for (auto _ : state) {
     run.now += step_time;
     benchmark::DoNotOptimize(
@@ -80,16 +81,16 @@
 }
 BENCHMARK(controller_step)->Arg(50)->Arg(250)->Arg(931)->Arg(2000);
 
-/// Sums of requests in flight at 70 places, told by `range` peers.
+/// Requests in flight at 70 endpoints, as reported by `peers` peers.
 load_table busy_table(int64_t peers, absl::Time now) {
-  constexpr int places = 70;
+  constexpr int endpoints = 70;
   load_table loads;
   for (int64_t n = 0; n < peers; ++n) {
-    std::vector<endpoint_load> said;
-    for (int p = 0; p < places; p += 7) {
-      said.push_back({absl::StrCat("large.", p), 2, 800});
+    std::vector<endpoint_load> report;
+    for (int p = 0; p < endpoints; p += 7) {
+      report.push_back({absl::StrCat("large.", p), 2, 800});
     }
-    loads.update_peer(absl::StrCat("n", n), said, now);
+    loads.update_peer(absl::StrCat("n", n), report, now);
   }
   return loads;
 }
@@ -101,7 +102,7 @@
 }
 BENCHMARK(load_total)->Arg(8)->Arg(59)->Arg(200);
 
-void relay_choice_of_hall(benchmark::State& state) {
+void choose_relay_in_hall(benchmark::State& state) {
   relay_view view;
   view.self = {"n0", 0.125F};
   view.holder = "other";
@@ -110,13 +111,13 @@
   }
   for (auto _ : state) benchmark::DoNotOptimize(choose_relay(view));
 }
-BENCHMARK(relay_choice_of_hall)->Arg(9)->Arg(59)->Arg(200);
+BENCHMARK(choose_relay_in_hall)->Arg(9)->Arg(59)->Arg(200);
 
 void apply_one_change(benchmark::State& state) {
-  standing_fleet run(state.range(0));
+  running_fleet run(state.range(0));
   server_directory directory = run.fleet.directory();
   listed_server changed = directory.servers().begin()->second;
-  // Later than any change of the emulated fleet.
+  // Above any revision of the emulated fleet.
   int64_t revision = 1000000;
   for (auto _ : state) {
     changed.revision = ++revision;
@@ -129,11 +130,11 @@
 BENCHMARK(apply_one_change)->Arg(50)->Arg(931)->Arg(2000);
 
 void gossip_round_trip(benchmark::State& state) {
-  gossip said;
+  gossip content;
   for (int64_t i = 0; i < state.range(0); ++i) {
-    said.places.push_back({absl::StrCat("large.", i), 2, 800});
+    content.places.push_back({absl::StrCat("large.", i), 2, 800});
   }
-  const node_message message{"front-1", "hall", 7, 9, 0.125F, said};
+  const node_message message{"front-1", "hall", 7, 9, 0.125F, content};
   for (auto _ : state) {
     const std::string bytes = encode(message);
     benchmark::DoNotOptimize(decode_message(bytes.data(), bytes.size()));
@@ -141,51 +142,53 @@
 }
 BENCHMARK(gossip_round_trip)->Arg(4)->Arg(70);
 
-/// One second of demand taken into the division of so many hosts.
-void divide_hosts_by_demand(benchmark::State& state) {
+/// One second of demand applied to the allocation of `range` hosts.
+void allocate_hosts_by_demand(benchmark::State& state) {
   const engine_profile engine = *engine_service().engine;
-  host_capacity room;
-  room.halls = halls;
-  const auto domains = static_cast<size_t>(state.range(0) / hosts_of_domain);
-  room.domains.assign(domains, hosts_of_domain - 6);
+  host_capacity capacity;
+  capacity.halls = halls;
+  const auto domains = static_cast<size_t>(state.range(0) / hosts_per_domain);
+  capacity.domains.assign(domains, hosts_per_domain - 6);
   const count_by_model wanted = allocate_hosts(
-      engine, room, {{"large", domains * 0.5}, {"small", domains * 1.0}});
+      engine, capacity, {{"large", domains * 0.5}, {"small", domains * 1.0}});
   const need_by_model need = {{"large", domains * 0.51},
                               {"small", domains * 1.0}};
   model_shares shares;
   absl::Time now = absl::FromUnixSeconds(1000);
   for (auto _ : state) {
     now += absl::Seconds(1);
-    benchmark::DoNotOptimize(shares.take(engine, room, wanted, need, now));
+    benchmark::DoNotOptimize(
+        shares.add_sample(engine, capacity, wanted, need, now));
   }
 }
-BENCHMARK(divide_hosts_by_demand)->Arg(174)->Arg(620)->Arg(850);
+BENCHMARK(allocate_hosts_by_demand)->Arg(174)->Arg(620)->Arg(850);
 
-/// The sum of what so many peers say that callers ask for, two models each.
+/// The total demand reported by `range` peers, for two models each.
 void sum_of_demand(benchmark::State& state) {
   const absl::Time now = absl::FromUnixSeconds(1000);
-  const std::vector<model_demand> said = {{"lm", "large", 2, 2840, 232, 0},
-                                          {"lm", "small", 5, 3370, 580, 0}};
+  const std::vector<model_demand> demand = {{"lm", "large", 2, 2840, 232, 0},
+                                            {"lm", "small", 5, 3370, 580, 0}};
   demand_table table;
   for (int64_t n = 0; n < state.range(0); ++n) {
     const std::string hall = absl::StrCat("h", n % halls);
-    table.update_node(absl::StrCat("n", n), hall, said, now);
+    table.update_node(absl::StrCat("n", n), hall, demand, now);
   }
-  for (auto _ : state) benchmark::DoNotOptimize(table.total(said, now));
+  for (auto _ : state) benchmark::DoNotOptimize(table.total(demand, now));
 }
 BENCHMARK(sum_of_demand)->Arg(83)->Arg(295)->Arg(400);
 
-/// Bytes of gossip with four places, and what two models add.
+/// Size in bytes of gossip with four endpoints, without and with the demand for
+/// two models.
 void gossip_with_demand(benchmark::State& state) {
-  gossip said;
+  gossip content;
   for (int i = 0; i < 4; ++i) {
-    said.places.push_back({absl::StrCat("large.", i), 2, 800});
+    content.places.push_back({absl::StrCat("large.", i), 2, 800});
   }
   if (state.range(0) != 0) {
-    said.demand = {{"lm", "large", 2.3F, 2840.7F, 232.3F, 0.3F},
-                   {"lm", "small", 5.3F, 3370.7F, 580.3F, 0}};
+    content.demand = {{"lm", "large", 2.3F, 2840.7F, 232.3F, 0.3F},
+                      {"lm", "small", 5.3F, 3370.7F, 580.3F, 0}};
   }
-  const node_message message{"front-1", "hall", 7, 9, 0.125F, said};
+  const node_message message{"front-1", "hall", 7, 9, 0.125F, content};
   for (auto _ : state) benchmark::DoNotOptimize(encode(message));
   state.counters["bytes"] = static_cast<double>(encode(message).size());
 }
