--- a/include/spokesail/effect.h
+++ b/include/spokesail/effect.h
@@ -104,7 +104,7 @@
   bool operator==(const log_field&) const = default;
 };
 
-/// Write a log line, and if `audited` an entry of the platform's audit trail.
+/// Write a log line and, if `audited`, an entry in the platform's audit trail.
 struct log_effect {
   std::string name;
   std::vector<log_field> fields;
--- a/include/spokesail/platform-adapter.h
+++ b/include/spokesail/platform-adapter.h
@@ -58,7 +58,7 @@
   bool operator==(const caller_request&) const = default;
 };
 
-/// What the headers of a request to a backend server say.
+/// Contents of the headers of a request to a backend server.
 struct attempt_head {
   /// Id of the server that the request is for.
   std::string server;
@@ -77,8 +77,8 @@
   std::string request_id;
   /// Whether the server states that it has not run the request.
   bool not_run = false;
-  /// Whether the response carries the server's stamp. Without it, it may not
-  /// come from the server itself.
+  /// Whether the response carries the server's stamp. A response without one
+  /// may not come from the server itself.
   bool stamped = false;
   /// Server that caused a group to refuse a request; empty if unknown.
   std::string at_fault;
--- a/include/spokesail/platform.h
+++ b/include/spokesail/platform.h
@@ -1,5 +1,5 @@
-// Interface to the platform's object API. Supporting another platform takes
-// one more implementation.
+// Interface to the platform's object API. To support another platform,
+// implement it in one more file.
 #pragma once
 
 #include <absl/time/time.h>
--- a/src/apply.h
+++ b/src/apply.h
@@ -1,4 +1,5 @@
-// Operators' changes to the configuration in the platform.
+// Operators' actions through the platform: applying and reading back the
+// configuration, and writing the audit trail.
 #pragma once
 
 #include <boost/leaf.hpp>
--- a/src/backend.cc
+++ b/src/backend.cc
@@ -44,8 +44,8 @@
 /// Cancels an exchange by closing its connection.
 class client_handle final : public exchange_handle {
  public:
-  explicit client_handle(std::shared_ptr<httplib::Client> handle_client)
-      : client(std::move(handle_client)) {}
+  explicit client_handle(std::shared_ptr<httplib::Client> http_client)
+      : client(std::move(http_client)) {}
   void cancel() override {
     this->cancelled = true;
     this->client->stop();
--- a/src/caller-session.cc
+++ b/src/caller-session.cc
@@ -21,7 +21,7 @@
 using net::ip::tcp;
 
 /// How long a connection stays open after its last response, so that the caller
-/// can read it.
+/// can read it even if the request was refused unread.
 constexpr absl::Duration linger_time = absl::Milliseconds(500);
 
 /// The time limit for a whole request, as a multiple of that for its head.
--- a/src/entry.cc
+++ b/src/entry.cc
@@ -40,7 +40,7 @@
 
 constexpr int64_t max_deadline_ms = 24LL * 3600 * 1000;
 
-/// Whether a header is forwarded. Those of one connection are not.
+/// Whether a header is forwarded. Headers that apply to one connection are not.
 bool is_forwarded_header(const std::string& name) {
   static const std::set<std::string> hop_headers = {
       "host",       "connection",      "content-length", "transfer-encoding",
@@ -326,8 +326,8 @@
     this->post(request_event{std::move(info)});
   }
 
-  void set_request_headers(const httplib::Request& req, const call& c,
-                           httplib::Response& res) {
+  void set_response_headers(const httplib::Request& req, const call& c,
+                            httplib::Response& res) {
     res.set_header(detail::request_header,
                    absl::StrCat(this->config.self.name, "-",
                                 absl::Hex(this->config.node.boot), "-", c.id));
@@ -372,7 +372,7 @@
     body["stream"] = true;
     c->body = body.dump();
     this->admit(info, c);
-    this->set_request_headers(req, *c, res);
+    this->set_response_headers(req, *c, res);
     const auto ended = c->wait_for_output();
     if (!ended ||
         (c->streamed && ended->kind == outcome_kind::answered && c->begun())) {
@@ -452,7 +452,7 @@
     if (!this->read_headers(req, res, info, *c)) return;
     info.repeatable_stated = req.has_header(detail::repeatable_header);
     this->admit(info, c);
-    this->set_request_headers(req, *c, res);
+    this->set_response_headers(req, *c, res);
     const auto ended = c->wait_for_output();
     if (ended->kind != outcome_kind::answered) {
       write_error(*ended, res);
--- a/src/explain.h
+++ b/src/explain.h
@@ -10,8 +10,8 @@
 
 /// The history of one request.
 struct explanation {
-  /// The request's log lines and the state changes of its nodes and groups
-  /// before its end, sorted by time.
+  /// The request's log lines and the preceding state changes of its nodes, its
+  /// groups and the lease, sorted by time.
   std::vector<std::string> lines;
   /// The cause of its outcome, in a few sentences; empty if the logs have no
   /// `request_ended` line for the request.
--- a/src/http-fetch.cc
+++ b/src/http-fetch.cc
@@ -22,8 +22,8 @@
 using detail::socket_deadline;
 using detail::use_tuple;
 
-/// Largest response that is read, in bytes. It leaves room above one page of
-/// the store's lists.
+/// Largest response that is read, in bytes: one page of the store's lists with
+/// a margin.
 constexpr uint64_t max_response_bytes = 16 << 20;
 
 /// Idle connections kept for one address. Each address gets few calls.
