--- a/standin/fleet-emulator.h
+++ b/standin/fleet-emulator.h
@@ -1,5 +1,5 @@
-// An emulator of model engines that form groups, in virtual time, with the
-// faults that their platform brings. It judges what it is ordered to do.
+// An emulator of model engines that form groups, in virtual time, with
+// injected faults. It checks the orders that it receives against the rules.
 #pragma once
 
 #include <absl/time/time.h>
@@ -17,139 +17,142 @@
 
 namespace spokesail::standin {
 
-/// Faults that strike orders, as shares from 0 to 1.
+/// Faults of orders, as probabilities from 0 to 1.
 struct order_faults {
-  /// Taken and carried out, the answer lost.
+  /// The order is executed, but its answer is lost.
   double answer_lost = 0;
-  /// Not answered, carried out 2 to 12 s later.
+  /// The order is not answered, and executed 2 to 12 s later.
   double late = 0;
-  /// Neither answered nor carried out.
+  /// The order is neither answered nor executed.
   double lost = 0;
   bool operator==(const order_faults&) const = default;
 };
 
-/// Times of the emulated fleet that the engine profile does not give.
+/// Delays of the emulated fleet that are not part of the engine profile.
 struct emulator_timing {
-  /// From a change of a server until readers of the store see it.
+  /// From a change of a server until it is visible in the store.
   absl::Duration entry_lag = absl::Milliseconds(40);
-  /// From a server's death until its entry goes.
-  absl::Duration lapse = absl::Milliseconds(3600);
-  /// A head whose group lost a member gives up after this.
-  absl::Duration stall = absl::Seconds(5);
-  /// Joining again for the model of its last group.
-  absl::Duration rejoin = absl::Milliseconds(200);
+  /// From a server's crash until its entry is removed.
+  absl::Duration entry_ttl = absl::Milliseconds(3600);
+  /// From the loss of a member until the head reports its group as broken.
+  absl::Duration stall_timeout = absl::Seconds(5);
+  /// Time of a join if the server's last group had the same model.
+  absl::Duration rejoin_time = absl::Milliseconds(200);
   bool operator==(const emulator_timing&) const = default;
 };
 
-/// One emulated engine service.
+/// Emulates the servers of one engine service.
 class fleet_emulator {
  public:
   fleet_emulator(backend_service service, emulator_timing timing,
                  uint64_t seed);
 
-  /// Adds a server with nothing staged. Returns its id.
+  /// Adds a server without staged weights. Returns its id.
   std::string add(const std::string& domain, absl::Time now,
                   const std::string& address = "10.0.0.1:80",
                   const std::string& hall = "hall");
 
-  /// Kills a server; its entry goes after the lapse.
+  /// Kills a server; its entry is removed after `entry_ttl`.
   void kill(const std::string& id, absl::Time now);
 
-  /// Has a server crash and start again at once under the id that it had, with
-  /// what lies on its host.
+  /// Crashes a server and restarts it at once under the same id. The weights
+  /// staged on its host remain.
   void restart(const std::string& id, absl::Time now);
 
-  /// Cuts a server off from callers and from its group, or heals the cut.
-  void set_dark(const std::string& id, bool dark);
+  /// Isolates a server from callers and from its group, or ends the isolation.
+  void set_dark(const std::string& id, bool isolated);
 
-  /// Announces that a server is leaving.
+  /// Marks a server as draining in its entry.
   void drain(const std::string& id, absl::Time now);
 
-  /// Moves loads, joins, openings, stalls, late orders and entries on.
+  /// Completes everything that is due: late orders, loads, joins, openings,
+  /// closings, time-outs of stalled heads and changes of entries.
   void advance(absl::Time now);
 
-  /// Gives an order. The result is what the sender sees.
+  /// Sends an order. The result is the one that the sender receives.
   order_result give(const group_order& order, absl::Time now);
 
-  /// A server's report; nothing if it does not answer.
+  /// A server's report; nullopt if the server is down or isolated.
   std::optional<server_report> report(const std::string& id) const;
 
-  /// What readers of the store see.
-  const server_directory& directory() const { return this->seen; }
+  /// The servers as visible in the store.
+  const server_directory& directory() const { return this->visible; }
 
-  /// Groups that truly serve: open, with all members in place.
+  /// Number of groups of a model that are open and complete.
   int serving(const std::string& model) const;
 
-  /// Whether a server takes requests: it heads an open group.
-  bool open_head(const std::string& id) const;
-  /// Whether a server's group has all its members in place.
+  /// Whether a server accepts requests: it is the head of an open group.
+  bool is_open_head(const std::string& id) const;
+  /// Whether all members of a server's group are reachable and belong to it.
   bool group_in_place(const std::string& id) const;
 
-  /// Ids of servers that run.
+  /// Ids of the servers that run.
   std::vector<std::string> living() const;
 
-  /// Rules that an order or an opening broke, in words.
-  const std::vector<std::string>& breaches() const { return this->broken; }
+  /// Descriptions of the rules that orders or openings have broken.
+  const std::vector<std::string>& breaches() const { return this->breach_list; }
 
   order_faults faults;
-  /// Part of its time that a load from the weight store takes.
+  /// Factor on the time of a load from the weight store.
   double load_factor = 1;
-  /// Loads from the weight store that began, by time.
+  /// Start times of the loads from the weight store.
   std::vector<absl::Time> loads;
 
  private:
   struct server {
     server_entry entry;
     bool alive = true;
-    bool dark = false;
-    /// Orders that it has begun.
+    bool isolated = false;
+    /// Number of orders that it has started.
     int64_t orders = 0;
     /// Highest epoch of the groups it has joined.
-    int64_t epoch_seen = 0;
+    int64_t max_epoch = 0;
     std::vector<std::string> members;
-    /// Groups, by name, epoch and list, in which it has been ready.
-    std::set<std::string> ready_in;
-    absl::Time phase_done = absl::InfiniteFuture();
-    std::string loading;
-    absl::Time load_done = absl::InfiniteFuture();
+    /// Groups, by `membership_key`, in which it has been ready.
+    std::set<std::string> ready_memberships;
+    absl::Time phase_end = absl::InfiniteFuture();
+    std::string loading_model;
+    absl::Time load_end = absl::InfiniteFuture();
     std::string last_model;
     /// Of a head: since when a member has been missing.
     absl::Time stalled_since = absl::InfiniteFuture();
   };
-  /// An order that is carried out long after it was given.
+  /// An order that is executed long after it was sent.
   struct late_order {
     group_order order;
     absl::Time at;
   };
-  /// A change that readers of the store see at `at`.
-  struct news {
+  /// A change that becomes visible in the store at `at`.
+  struct pending_change {
     absl::Time at;
     listed_server server;
-    bool gone = false;
+    bool removed = false;
   };
 
-  /// Carries an order out if the server would. The result is the server's.
-  order_result carry_out(const group_order& order, absl::Time now);
-  /// What an order does to a server that takes it.
+  /// Executes an order if its server is up and accepts it. Returns the
+  /// server's result.
+  order_result execute(const group_order& order, absl::Time now);
+  /// Applies an order to a server whose order count is as expected.
   order_result apply(server& s, const group_order& order, absl::Time now);
   order_result join(server& s, const group_order& order, absl::Time now);
-  /// Notes a join of a server whose group still serves.
+  /// Records a breach if the server's current group is still open or closing.
   void check_join(const server& s, const group_order& order);
-  /// Notes an opening of a group that is not ready.
+  /// Records a breach if the group does not have its model's size or a member
+  /// was never ready in it.
   void check_open(const server& head);
-  /// A server's group by name, epoch and list of members.
+  /// Identifies a server's group by name, epoch and list of members.
   static std::string membership_key(const server& s);
-  /// Whether a member of `head`'s group is there and belongs to it.
-  bool member_in_place(const server& head, const std::string& id) const;
-  /// Carries out late orders that are due.
-  void carry_out_late(absl::Time now);
-  /// Ends a load, a join, an opening or a closing that is due.
-  void end_due(server& s, absl::Time now);
-  /// Breaks a head that has stood still for too long.
-  void watch_head(server& head, absl::Time now);
-  /// Shows readers of the store the changes that are due.
-  void show_entries(absl::Time now);
-  /// Has a server's entry reach the readers of the store after the lag.
+  /// Whether a server is reachable and belongs to `head`'s group.
+  bool is_active_member(const server& head, const std::string& id) const;
+  /// Executes late orders that are due.
+  void execute_late_orders(absl::Time now);
+  /// Completes a load, a join, an opening or a closing that is due.
+  void finish_due(server& s, absl::Time now);
+  /// Marks a head as broken if its group has been incomplete for too long.
+  void check_head(server& head, absl::Time now);
+  /// Makes changes that are due visible in the store.
+  void apply_due_changes(absl::Time now);
+  /// Makes a server's entry visible in the store after `entry_lag`.
   void publish(const server& s, absl::Time now);
   void begin_load(server& s, const std::string& model, absl::Time now);
 
@@ -158,9 +161,9 @@
   random_stream random;
   std::map<std::string, server> servers;
   std::vector<late_order> late;
-  std::vector<news> pending;
-  server_directory seen;
-  std::vector<std::string> broken;
+  std::vector<pending_change> pending;
+  server_directory visible;
+  std::vector<std::string> breach_list;
   int64_t revision = 0;
   int next_id = 0;
 };
--- a/standin/fleet-loop.h
+++ b/standin/fleet-loop.h
@@ -1,4 +1,4 @@
-// What the fleet's stand-ins share to serve HTTP on one event loop.
+// Helpers for serving HTTP on an event loop.
 #pragma once
 
 #include <absl/time/time.h>
@@ -13,22 +13,23 @@
 
 namespace spokesail::standin {
 
-/// Gives errors as the first part of a result.
+/// Completion token that returns errors as the first element of a tuple.
 inline constexpr auto use_tuple =
     boost::asio::as_tuple(boost::asio::use_awaitable);
 
-/// How often the stand-ins look whether something has changed.
-inline constexpr absl::Duration tick_time = absl::Milliseconds(5);
+/// Interval at which coroutines check for changes of the fleet's state.
+inline constexpr absl::Duration poll_interval = absl::Milliseconds(5);
 
-/// A header's value; empty if it is not there.
-inline std::string text_of(const fleet_standin::request& in, const char* name) {
+/// The value of a header; empty if it is absent.
+inline std::string header_value(const fleet_standin::request& in,
+                                const char* name) {
   const auto found = in.find(name);
   return found == in.end() ? "" : std::string(found->value());
 }
 
-/// An answer without headers.
-inline fleet_standin::response answer_of(unsigned status,
-                                         const std::string& body) {
+/// A response without headers.
+inline fleet_standin::response make_response(unsigned status,
+                                             const std::string& body) {
   constexpr unsigned http_11 = 11;
   fleet_standin::response out(static_cast<boost::beast::http::status>(status),
                               http_11);
--- a/standin/fleet-main.cc
+++ b/standin/fleet-main.cc
@@ -1,4 +1,4 @@
-// The small fleet as a process of its own, steered over HTTP by a soak.
+// Runs the small fleet as a process, controlled over HTTP by a soak test.
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
 #include <absl/time/clock.h>
@@ -13,10 +13,10 @@
 #include "fleet-standin.h"
 #include "fleet-steering.h"
 
-ABSL_FLAG(std::string, address, "127.0.0.1", "IP address to steer it at");
-ABSL_FLAG(int, port, 0, "port to steer it at");
-ABSL_FLAG(int, domains, 2, "fabric domains");
-ABSL_FLAG(int, hosts, 5, "hosts of each domain");
+ABSL_FLAG(std::string, address, "127.0.0.1", "IP address of the control API");
+ABSL_FLAG(int, port, 0, "port of the control API");
+ABSL_FLAG(int, domains, 2, "number of fabric domains");
+ABSL_FLAG(int, hosts, 5, "number of hosts per domain");
 ABSL_FLAG(std::string, limit, "",
           "rate limit that servers advertise, in requests/s; empty for none");
 ABSL_FLAG(std::string, limit_service, "",
@@ -37,7 +37,7 @@
 using net::ip::tcp;
 using json = nlohmann::json;
 
-net::awaitable<void> serve(fleet_steering& steer,
+net::awaitable<void> serve(fleet_control& control,
                            std::shared_ptr<tcp::socket> socket) {
   boost::beast::flat_buffer buffer;
   for (;;) {
@@ -46,21 +46,21 @@
         co_await http::async_read(*socket, buffer, in, use_tuple);
     if (error) co_return;
     const json body = json::parse(in.body(), nullptr, false);
-    const json said = steer.carry_out(std::string(in.target()), body);
-    auto out = answer_of(said.is_null() ? 404 : 200, said.dump());
+    const json result = control.handle(std::string(in.target()), body);
+    auto out = make_response(result.is_null() ? 404 : 200, result.dump());
     out.prepare_payload();
     auto [failed, sent] = co_await http::async_write(*socket, out, use_tuple);
     if (failed) co_return;
   }
 }
 
-net::awaitable<void> accept(net::io_context& loop, fleet_steering& steer,
+net::awaitable<void> accept(net::io_context& loop, fleet_control& control,
                             tcp::acceptor& acceptor) {
   for (;;) {
     auto [error, socket] = co_await acceptor.async_accept(use_tuple);
     if (error) co_return;
     auto shared = std::make_shared<tcp::socket>(std::move(socket));
-    net::co_spawn(loop, serve(steer, shared), net::detached);
+    net::co_spawn(loop, serve(control, shared), net::detached);
   }
 }
 
@@ -82,11 +82,12 @@
                         limit_start + absl::GetFlag(FLAGS_limit_for),
                         absl::GetFlag(FLAGS_limit_strict)};
   fleet.start();
-  spokesail::standin::fleet_steering steer(fleet);
+  spokesail::standin::fleet_control control(fleet);
   boost::asio::ip::tcp::acceptor acceptor(
       loop, {boost::asio::ip::make_address(absl::GetFlag(FLAGS_address)),
              static_cast<uint16_t>(absl::GetFlag(FLAGS_port))});
-  boost::asio::co_spawn(loop, spokesail::standin::accept(loop, steer, acceptor),
+  boost::asio::co_spawn(loop,
+                        spokesail::standin::accept(loop, control, acceptor),
                         boost::asio::detached);
   loop.run();
   return 0;
--- a/standin/fleet-sample.cc
+++ b/standin/fleet-sample.cc
@@ -5,7 +5,7 @@
 
 using json = nlohmann::json;
 
-/// The figures of `small_service` as the configuration states them.
+/// The engine profile of `small_service` in the format of the configuration.
 json engine_json() {
   return {{"slots", 8},
           {"kv_capacity", 100000},
@@ -105,7 +105,7 @@
 }
 
 json sample_config_json(const std::vector<std::string>& keys) {
-  // Each configuration is newer than the last.
+  // Each configuration gets a higher version than the one before.
   static int64_t version = 0;
   return {{"version", ++version},
           {"routes", routes_json()},
--- a/standin/fleet-sample.h
+++ b/standin/fleet-sample.h
@@ -1,4 +1,4 @@
-// The small fleet's services and configuration, and its entries as JSON.
+// Services and configuration of the small fleet, and server entries as JSON.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -13,14 +13,15 @@
 inline constexpr char engine_service_name[] = "lm";
 inline constexpr char plain_service_name[] = "status";
 
-/// Figures of a small engine that loads within a test's time.
+/// An engine service with a small model, whose load times are short enough for
+/// tests.
 backend_service small_service();
 
-/// A server's entry as the store holds it.
+/// A server's entry as stored.
 nlohmann::json entry_json(const server_entry& e);
 
-/// A configuration with a stream route, a repeatable and a plain one that may
-/// run once, for workspace `north` with the keys given.
+/// A configuration for workspace `north` with the given API keys. It has a
+/// streaming route, a repeatable one and one whose requests run at most once.
 nlohmann::json sample_config_json(const std::vector<std::string>& keys);
 
 }  // namespace spokesail::standin
--- a/standin/fleet-standin.cc
+++ b/standin/fleet-standin.cc
@@ -1,4 +1,4 @@
-// The small fleet's servers.
+// The servers of the small fleet.
 #include "fleet-standin.h"
 
 #include <absl/strings/numbers.h>
@@ -23,17 +23,17 @@
 using net::ip::tcp;
 using json = nlohmann::json;
 
-/// Time between two events of a stream.
-constexpr absl::Duration event_time = absl::Milliseconds(15);
+/// Interval between two events of a stream.
+constexpr absl::Duration event_interval = absl::Milliseconds(15);
 constexpr int events_per_stream = 12;
 
-/// From the start of a run that crashes its server until the crash, and until
-/// the server is back.
-constexpr absl::Duration crash_time = absl::Milliseconds(50);
+/// Time from the start of a run that crashes its server to the crash, and from
+/// the crash to the server's replacement.
+constexpr absl::Duration crash_delay = absl::Milliseconds(50);
 constexpr absl::Duration crash_outage = absl::Seconds(1);
 
-/// The order to `server` that a request's body holds; nothing if its kind is
-/// not known.
+/// Parses the body of an order to `server`. Returns nullopt if the kind of the
+/// order is unknown.
 std::optional<group_order> read_order(const std::string& server,
                                       const std::string& text) {
   static const std::map<std::string, group_order_kind> kinds_by_name = {
@@ -66,7 +66,7 @@
     : loop(io),
       emulator(small_service(), {}, 1),
       store(io, tcp::endpoint(net::ip::make_address("127.0.0.1"), 0)),
-      store_at(address_of(store)) {
+      store_endpoint(address_of(store)) {
   for (int i = 0; i < domains * count; ++i) {
     auto h = std::make_unique<host>();
     h->domain = absl::StrCat("d", i % domains);
@@ -95,7 +95,7 @@
 }
 
 void fleet_standin::end_evacuation(const std::string& hall) {
-  this->kinds["evacuations"][hall] = {json(), ++this->revision, true};
+  this->objects_by_kind["evacuations"][hall] = {json(), ++this->revision, true};
 }
 
 void fleet_standin::open_host(host& h) {
@@ -107,7 +107,7 @@
 
 void fleet_standin::start() {
   net::co_spawn(this->loop, this->accept_store(), net::detached);
-  net::co_spawn(this->loop, this->tick(), net::detached);
+  net::co_spawn(this->loop, this->run_emulator(), net::detached);
   for (auto& h : this->hosts) {
     net::co_spawn(this->loop, this->accept_host(*h), net::detached);
   }
@@ -123,7 +123,7 @@
 
 std::string fleet_standin::serving_head(const std::string& model) const {
   for (const auto& h : this->hosts) {
-    if (h->plain || !this->emulator.open_head(h->id)) continue;
+    if (h->plain || !this->emulator.is_open_head(h->id)) continue;
     const server_entry* entry = this->emulator.directory().find(h->id);
     if (entry == nullptr) continue;
     if (group_model(entry->membership.group) != model) continue;
@@ -142,37 +142,37 @@
       socket->close(ignored);
     }
     if (h->plain) {
-      this->kinds["servers"][id] = {{}, ++this->revision, true};
+      this->objects_by_kind["servers"][id] = {{}, ++this->revision, true};
     } else {
       this->emulator.kill(id, absl::Now());
     }
   }
 }
 
-net::awaitable<void> fleet_standin::tick() {
+net::awaitable<void> fleet_standin::run_emulator() {
   for (;;) {
     this->emulator.advance(absl::Now());
     this->publish_servers();
-    co_await sleep_for(tick_time);
+    co_await sleep_for(poll_interval);
   }
 }
 
 void fleet_standin::publish_servers() {
-  auto& known = this->kinds["servers"];
+  auto& entries = this->objects_by_kind["servers"];
   const auto& servers = this->emulator.directory().servers();
   for (const auto& [id, server] : servers) {
-    const auto spoiled = this->faults.spoiled_entries.find(id);
-    const bool own = spoiled == this->faults.spoiled_entries.end();
-    json spec = own ? entry_json(server.entry) : spoiled->second;
-    if (own) spec["cold_left_ms"] = this->faults.cold_left_ms;
-    const auto found = known.find(id);
-    if (found != known.end() && found->second.spec == spec) continue;
+    const auto corrupt = this->faults.spoiled_entries.find(id);
+    const bool intact = corrupt == this->faults.spoiled_entries.end();
+    json spec = intact ? entry_json(server.entry) : corrupt->second;
+    if (intact) spec["cold_left_ms"] = this->faults.cold_left_ms;
+    const auto found = entries.find(id);
+    if (found != entries.end() && found->second.spec == spec) continue;
     this->put("servers", id, spec);
   }
-  for (auto& [id, o] : known) {
+  for (auto& [id, o] : entries) {
     const bool engine = o.spec.contains("domain");
-    if (!engine || o.gone || servers.count(id) != 0) continue;
-    o.gone = true;
+    if (!engine || o.deleted || servers.count(id) != 0) continue;
+    o.deleted = true;
     o.revision = ++this->revision;
   }
 }
@@ -189,15 +189,15 @@
 
 net::awaitable<void> fleet_standin::serve_host(host& h, socket_ptr socket) {
   boost::beast::flat_buffer buffer;
-  for (bool kept = false;; kept = true) {
+  for (bool reused = false;; reused = true) {
     request in;
     auto [error, size] =
         co_await http::async_read(*socket, buffer, in, use_tuple);
     if (error) break;
-    const bool stream = !h.plain && this->emulator.open_head(h.id) &&
+    const bool stream = !h.plain && this->emulator.is_open_head(h.id) &&
                         in.method() == http::verb::post &&
                         in.target() != "/spokesail/order";
-    if (kept && stream && this->faults.end_on_kept) {
+    if (reused && stream && this->faults.end_on_kept) {
       co_await this->crash(h, absl::ZeroDuration());
       break;
     }
@@ -208,41 +208,41 @@
   h.connections.erase(socket);
 }
 
-fleet_standin::response fleet_standin::order_answer(host& h,
+fleet_standin::response fleet_standin::handle_order(host& h,
                                                     const request& in) {
   const auto order = read_order(h.id, in.body());
-  if (!order) return answer_of(400, "");
+  if (!order) return make_response(400, "");
   switch (this->emulator.give(*order, absl::Now())) {
     case order_result::begun:
-      return answer_of(202, "");
+      return make_response(202, "");
     case order_result::already_done:
-      return answer_of(200, "");
+      return make_response(200, "");
     case order_result::outdated_epoch:
-      return answer_of(412, "");
+      return make_response(412, "");
     default:
-      return answer_of(409, "");
+      return make_response(409, "");
   }
 }
 
-fleet_standin::response fleet_standin::report_answer(host& h) {
+fleet_standin::response fleet_standin::handle_report(host& h) {
   const auto report = this->emulator.report(h.id);
-  if (!report) return answer_of(503, "");
-  return answer_of(200, json({{"stage", "hybrid"},
-                              {"models", json::array()},
-                              {"busy", false},
-                              {"seq", report->orders_started},
-                              {"waiting", 0},
-                              {"running", 0}})
-                            .dump());
+  if (!report) return make_response(503, "");
+  return make_response(200, json({{"stage", "hybrid"},
+                                  {"models", json::array()},
+                                  {"busy", false},
+                                  {"seq", report->orders_started},
+                                  {"waiting", 0},
+                                  {"running", 0}})
+                                .dump());
 }
 
-void fleet_standin::note_run(const host& h, const std::string& id) {
+void fleet_standin::record_run(const host& h, const std::string& id) {
   this->record.all_runs.push_back({id, absl::Now(), h.id});
   this->record.runs[id]++;
   this->record.taken_in[h.hall]++;
 }
 
-std::string fleet_standin::limit_of(const host& h) const {
+std::string fleet_standin::advertised_limit(const host& h) const {
   const limit_settings& settings = this->faults.limit;
   const absl::Time now = absl::Now();
   if (now < settings.from || now >= settings.until) return "";
@@ -257,7 +257,7 @@
 bool fleet_standin::over_limit(const host& h) const {
   double per_s = 0;
   if (!this->faults.limit.strict) return false;
-  if (!absl::SimpleAtod(this->limit_of(h), &per_s)) return false;
+  if (!absl::SimpleAtod(this->advertised_limit(h), &per_s)) return false;
   const absl::Time since = absl::Now() - absl::Seconds(1);
   const auto& runs = this->record.all_runs;
   const auto recent_runs =
@@ -269,43 +269,43 @@
 
 net::awaitable<bool> fleet_standin::serve_call(host& h, socket_ptr socket,
                                                const request& in) {
-  const std::string id = text_of(in, "X-Request-Id");
-  const std::string expected = text_of(in, "X-Expect-Instance");
+  const std::string id = header_value(in, "X-Request-Id");
+  const std::string expected = header_value(in, "X-Expect-Instance");
   response out;
   if (!id.empty() && expected == h.id) {
     this->record.arrivals.push_back({id, absl::Now(), h.id});
   }
   if (!expected.empty() && expected != h.id) {
-    out = answer_of(421, "");
+    out = make_response(421, "");
   } else if (in.target() == "/spokesail/report") {
-    out = this->report_answer(h);
+    out = this->handle_report(h);
   } else if (in.target() == "/spokesail/order") {
-    out = this->order_answer(h, in);
+    out = this->handle_order(h, in);
   } else if (this->over_limit(h)) {
-    out = answer_of(503, "");
+    out = make_response(503, "");
     out.set("X-Not-Executed", "1");
-  } else if (!h.plain && this->emulator.open_head(h.id)) {
+  } else if (!h.plain && this->emulator.is_open_head(h.id)) {
     co_return co_await this->serve_stream(h, socket, in);
   } else if (!h.plain) {
-    out = answer_of(421, "");
+    out = make_response(421, "");
   } else if (this->faults.shed_plain) {
-    out = answer_of(503, "");
+    out = make_response(503, "");
     out.set("X-Not-Executed", "1");
   } else {
-    this->note_run(h, id);
+    this->record_run(h, id);
     this->record.bodies[id] = in.body();
-    this->record.workspaces[id] = text_of(in, "X-Tenant");
+    this->record.workspaces[id] = header_value(in, "X-Tenant");
     if (this->faults.lose_plain_answers) co_return false;
     const bool fails = this->faults.fail_plain_calls > 0;
     if (fails) this->faults.fail_plain_calls--;
-    out = answer_of(fails ? 500 : 200,
-                    absl::StrCat("path ", std::string(in.target())));
+    out = make_response(fails ? 500 : 200,
+                        absl::StrCat("path ", std::string(in.target())));
     out.set("X-Response-Stamp", "stamp-" + h.id);
   }
   if (h.plain) out.body().append(this->faults.plain_answer_bytes, '.');
-  const bool crossed = this->faults.cross_plain_answers && h.plain;
-  if (!id.empty()) out.set("X-Request-Id", crossed ? "another" : id);
-  const std::string limit = this->limit_of(h);
+  const bool wrong_id = this->faults.cross_plain_answers && h.plain;
+  if (!id.empty()) out.set("X-Request-Id", wrong_id ? "another" : id);
+  const std::string limit = this->advertised_limit(h);
   if (!limit.empty()) out.set("Server-Limit", limit);
   out.prepare_payload();
   auto [error, size] = co_await http::async_write(*socket, out, use_tuple);
@@ -325,37 +325,37 @@
 
 net::awaitable<bool> fleet_standin::serve_stream(host& h, socket_ptr socket,
                                                  const request& in) {
-  const std::string id = text_of(in, "X-Request-Id");
-  this->note_run(h, id);
+  const std::string id = header_value(in, "X-Request-Id");
+  this->record_run(h, id);
   this->record.streams[h.id]++;
-  this->record.workspaces[id] = text_of(in, "X-Tenant");
+  this->record.workspaces[id] = header_value(in, "X-Tenant");
   if (!in.body().empty() && in.body() == this->faults.crash_body) {
     this->record.crashing_runs++;
-    co_await this->crash(h, crash_time);
+    co_await this->crash(h, crash_delay);
     co_return false;
   }
   int64_t after = -1;
-  if (!absl::SimpleAtoi(text_of(in, "Last-Event-Id"), &after)) after = -1;
-  const std::string limit = this->limit_of(h);
-  std::string head = absl::StrCat(
+  if (!absl::SimpleAtoi(header_value(in, "Last-Event-Id"), &after)) after = -1;
+  const std::string limit = this->advertised_limit(h);
+  std::string response_head = absl::StrCat(
       "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
       "X-Response-Stamp: stamp-",
       h.id, "\r\nX-Request-Id: ", id, "\r\nTransfer-Encoding: chunked\r\n",
       limit.empty() ? "" : absl::StrCat("Server-Limit: ", limit, "\r\n"),
       "\r\n");
   auto [error, size] =
-      co_await net::async_write(*socket, net::buffer(head), use_tuple);
+      co_await net::async_write(*socket, net::buffer(response_head), use_tuple);
   if (error) co_return false;
   int sent = 0;
-  for (int64_t k = after + 1; k < events_per_stream; ++k) {
-    co_await sleep_for(event_time);
+  for (int64_t index = after + 1; index < events_per_stream; ++index) {
+    co_await sleep_for(event_interval);
     while (!this->emulator.group_in_place(h.id) ||
-           this->faults.silent_head == h.id) {
+           this->faults.stalled_head == h.id) {
       if (!socket->is_open()) co_return false;
-      co_await sleep_for(tick_time);
+      co_await sleep_for(poll_interval);
     }
     const std::string event =
-        absl::StrCat("id: ", k, "\ndata: word", k, "\n\n");
+        absl::StrCat("id: ", index, "\ndata: word", index, "\n\n");
     const std::string chunk =
         absl::StrCat(absl::Hex(event.size()), "\r\n", event, "\r\n");
     auto [failed, bytes] =
--- a/standin/fleet-standin.h
+++ b/standin/fleet-standin.h
@@ -1,5 +1,5 @@
-// A small fleet on loopback: the platform's store, model engines that form
-// groups, and a plain service, with the faults that tests bring about.
+// A small fleet on loopback for tests: the platform's store, model engines that
+// form groups, and a plain service, with injected faults.
 #pragma once
 
 #include <absl/time/time.h>
@@ -36,43 +36,44 @@
   bool strict = false;
 };
 
-/// What the fleet does wrong, until it is changed.
+/// Faults of the fleet. `fail_plain_calls` and `break_after_events` end by
+/// themselves; the others stay in effect until they are changed.
 struct fleet_faults {
-  /// Callers of the store, by user agent, that get 503.
+  /// User agents whose calls of the store get 503.
   std::set<std::string> refused_nodes;
-  /// Kinds of objects of which the store tells a caller nothing, by its user
-  /// agent.
+  /// By user agent: kinds of objects for which the store answers 503.
   std::map<std::string, std::set<std::string>> refused_kinds;
-  /// The store answers nobody.
+  /// The store does not answer any call.
   bool store_silent = false;
-  /// Plain calls run, and their connection ends without an answer.
+  /// Plain calls run, but their connection is closed without an answer.
   bool lose_plain_answers = false;
-  /// Bytes that are added to each plain answer.
+  /// Number of bytes added to each plain answer.
   size_t plain_answer_bytes = 0;
-  /// Plain servers turn calls away unrun.
+  /// Plain servers reject calls without running them.
   bool shed_plain = false;
-  /// So many plain calls, from the next one on, run and fail.
+  /// Number of plain calls, from the next one on, that run and fail with 500.
   int fail_plain_calls = 0;
-  /// Plain answers bear another request's id.
+  /// Plain answers carry another request's id.
   bool cross_plain_answers = false;
-  /// Streams are reset after this many events; 0 for none.
+  /// The first stream that has sent this many events is cut off; 0 for none.
   int break_after_events = 0;
-  /// What another writer leaves in place of servers' entries, by id.
+  /// Replacements for servers' entries, by id, as left by a writer that does
+  /// not know the format.
   std::map<std::string, nlohmann::json> spoiled_entries;
-  /// How much longer engines say that they are slow after their start, in ms.
+  /// Remaining time, in ms, for which engines report to be slow after a start.
   int cold_left_ms = 0;
-  /// Streams of one head fall silent.
-  std::string silent_head;
-  /// A server that runs a request with this body crashes and is replaced after
-  /// a while; none if empty.
+  /// Id of a head whose streams stall; none if empty.
+  std::string stalled_head;
+  /// A server that runs a stream request with this body crashes and is replaced
+  /// a second later; none if empty.
   std::string crash_body;
-  /// Engines end as a stream's request reaches them over a kept connection,
-  /// before they run it, and are replaced after a while.
+  /// Engines crash when a stream request arrives on a reused connection, before
+  /// they run it, and are replaced a second later.
   bool end_on_kept = false;
   limit_settings limit;
 };
 
-/// A request that a server began to run.
+/// A request that a server has started to run, or that has arrived there.
 struct server_run {
   std::string id;
   absl::Time at;
@@ -80,34 +81,34 @@
   bool operator==(const server_run&) const = default;
 };
 
-/// What the servers saw.
+/// What the servers and the store have received.
 struct fleet_record {
-  /// All runs, in their order.
+  /// All runs, in the order of their start.
   std::vector<server_run> all_runs;
-  /// Requests that reached their intended server, run or rejected, in order of
-  /// arrival.
+  /// Requests that reached their intended server, whether run or rejected, in
+  /// order of arrival.
   std::vector<server_run> arrivals;
-  /// Runs by request id.
+  /// Number of runs by request id.
   std::map<std::string, int> runs;
-  /// Streams by the server that they were sent to.
+  /// Number of streams by server.
   std::map<std::string, int> streams;
   /// Bodies of plain calls by request id.
   std::map<std::string, std::string> bodies;
-  /// Workspace of each request, as the server was told.
+  /// Workspace of each request, as sent to the server.
   std::map<std::string, std::string> workspaces;
-  /// Watches and lists that the store has answered.
+  /// Number of reads, lists and watches that the store has accepted.
   int store_reads = 0;
-  /// Lists of the servers among them.
+  /// Number of lists of the servers among them.
   int server_lists = 0;
-  /// Objects written, by kind.
+  /// Number of writes by kind, conflicts included.
   std::map<std::string, int> writes;
-  /// Times that a lease was written without a holder.
+  /// Number of times that the lease was written without a holder.
   int lease_given_up = 0;
-  /// Requests that servers took, by data hall.
+  /// Number of runs by data hall.
   std::map<std::string, int> taken_in;
-  /// Runs of the body that crashes servers.
+  /// Number of runs of requests with `crash_body`.
   int crashing_runs = 0;
-  /// Servers that crashed under it, or ended on a kept connection.
+  /// Servers that crashed because of `crash_body` or `end_on_kept`.
   std::set<std::string> crashed;
 };
 
@@ -118,52 +119,52 @@
   using response =
       boost::beast::http::response<boost::beast::http::string_body>;
 
-  /// Each domain is in a data hall of its own (see `hall_of`); the two plain
-  /// servers are in the first and the last of them.
+  /// Each domain has `hosts` engine hosts and is in a data hall of its own (see
+  /// `hall_of`). The two plain servers are in the first and the last data hall.
   fleet_standin(boost::asio::io_context& loop, int domains, int hosts);
 
-  /// The data hall of a domain, by its number.
+  /// The name of the data hall of a domain, given by its index.
   static std::string hall_of(int domain);
 
-  /// Starts to serve.
+  /// Starts serving.
   void start();
 
-  std::string store_address() const { return this->store_at; }
+  std::string store_address() const { return this->store_endpoint; }
 
-  /// Writes the configuration, as the operator does.
+  /// Writes the configuration as an operator does.
   void configure(const nlohmann::json& spec);
-  /// Evacuates a data hall, as the operator does; the object holds `spec`.
+  /// Evacuates a data hall as an operator does; `spec` is the object's spec.
   void evacuate(const std::string& hall, const nlohmann::json& spec) {
     this->put("evacuations", hall, spec);
   }
-  /// Takes the evacuation back.
+  /// Ends the evacuation of a data hall.
   void end_evacuation(const std::string& hall);
-  /// Writes a node's entry, as an earlier start of it did.
+  /// Writes a node's entry as an earlier process of the node has left it.
   void enroll_node(const std::string& name, const nlohmann::json& spec) {
     this->put("entry-nodes", name, spec);
   }
-  /// A configuration with a stream route, a repeatable and a plain one that
-  /// may run once, for workspace `north` with the keys given.
+  /// A configuration for workspace `north` with the given API keys. It has a
+  /// streaming route, a repeatable one and one whose requests run at most once.
   nlohmann::json sample_config(const std::vector<std::string>& keys) const;
 
   int serving(const std::string& model) const {
     return this->emulator.serving(model);
   }
   fleet_emulator& engines() { return this->emulator; }
-  /// The head of a group that serves `model`; empty if there is none.
+  /// Id of the head of a group that serves `model`; empty if there is none.
   std::string serving_head(const std::string& model) const;
 
-  /// Kills a server: its connections are reset and its port is closed.
+  /// Kills a server: resets its connections and closes its port.
   void kill(const std::string& id);
 
   fleet_faults faults;
   fleet_record record;
 
  private:
-  struct stored {
+  struct stored_object {
     nlohmann::json spec;
     int64_t revision = 0;
-    bool gone = false;
+    bool deleted = false;
   };
   struct host {
     std::string id;
@@ -177,9 +178,9 @@
 
   boost::asio::awaitable<void> accept_store();
   boost::asio::awaitable<void> serve_store(socket_ptr socket);
-  boost::asio::awaitable<response> store_answer(const request& in);
-  boost::asio::awaitable<response> read_kind(const std::string& kind,
-                                             const std::string& query);
+  boost::asio::awaitable<response> handle_store_request(const request& in);
+  boost::asio::awaitable<response> list_or_watch(const std::string& kind,
+                                                 const std::string& query);
   response write_object(const request& in, const std::string& kind,
                         const std::string& name);
   boost::asio::awaitable<void> accept_host(host& h);
@@ -188,31 +189,33 @@
                                           const request& in);
   boost::asio::awaitable<bool> serve_stream(host& h, socket_ptr socket,
                                             const request& in);
-  /// Takes note that a server begins to run a request.
-  void note_run(const host& h, const std::string& id);
+  /// Records that a server starts to run a request.
+  void record_run(const host& h, const std::string& id);
   /// The limit that a host currently advertises; empty if none.
-  std::string limit_of(const host& h) const;
+  std::string advertised_limit(const host& h) const;
   /// Whether a host enforces its limit and has reached it in the last second.
   /// Limits below one request per second are enforced as one.
   bool over_limit(const host& h) const;
-  /// Ends a host after a moment and replaces it later.
+  /// Kills a host after the given delay and restarts it a second later under a
+  /// new id.
   boost::asio::awaitable<void> crash(host& h, absl::Duration after);
-  /// Opens a host's port and joins it to the fleet under a new id.
+  /// Opens a host's port and adds the host to the fleet under a new id.
   void open_host(host& h);
-  response order_answer(host& h, const request& in);
-  response report_answer(host& h);
-  boost::asio::awaitable<void> tick();
+  response handle_order(host& h, const request& in);
+  response handle_report(host& h);
+  boost::asio::awaitable<void> run_emulator();
   void publish_servers();
   void put(const std::string& kind, const std::string& name,
            const nlohmann::json& spec);
-  nlohmann::json object_json(const std::string& name, const stored& o) const;
+  nlohmann::json object_json(const std::string& name,
+                             const stored_object& o) const;
   std::string add_host(bool plain);
 
   boost::asio::io_context& loop;
   fleet_emulator emulator;
   boost::asio::ip::tcp::acceptor store;
-  std::string store_at;
-  std::map<std::string, std::map<std::string, stored>> kinds;
+  std::string store_endpoint;
+  std::map<std::string, std::map<std::string, stored_object>> objects_by_kind;
   int64_t revision = 0;
   std::vector<std::unique_ptr<host>> hosts;
 };
--- a/standin/fleet-steering.cc
+++ b/standin/fleet-steering.cc
@@ -1,4 +1,4 @@
-// The calls by which a soak steers the fleet.
+// Implementation of the control calls.
 #include "fleet-steering.h"
 
 #include <absl/time/clock.h>
@@ -7,7 +7,7 @@
 
 using json = nlohmann::json;
 
-json fleet_steering::carry_out(const std::string& call, const json& body) {
+json fleet_control::handle(const std::string& call, const json& body) {
   if (call == "/address") return {{"store", this->fleet.store_address()}};
   if (call == "/record") return this->record();
   if (call == "/keys") {
@@ -26,7 +26,7 @@
   return nullptr;
 }
 
-json fleet_steering::record() const {
+json fleet_control::record() const {
   return {{"runs", this->fleet.record.runs},
           {"workspaces", this->fleet.record.workspaces},
           {"breaches", this->fleet.engines().breaches()},
@@ -34,7 +34,7 @@
           {"serving", this->fleet.serving("large")}};
 }
 
-json fleet_steering::set_faults(const json& body) {
+json fleet_control::set_faults(const json& body) {
   fleet_faults& f = this->fleet.faults;
   f.store_silent = body.value("store_silent", f.store_silent);
   f.lose_plain_answers = body.value("lose_plain_answers", f.lose_plain_answers);
--- a/standin/fleet-steering.h
+++ b/standin/fleet-steering.h
@@ -1,4 +1,4 @@
-// What a soak asks of the small fleet, by name.
+// Control calls by which a soak test changes and reads the small fleet.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -8,18 +8,19 @@
 
 namespace spokesail::standin {
 
-/// Carries calls out on the fleet's loop.
-class fleet_steering {
+/// Handles control calls. It must be used on the fleet's event loop.
+class fleet_control {
  public:
-  explicit fleet_steering(fleet_standin& fleet) : fleet(fleet) {}
+  explicit fleet_control(fleet_standin& fleet) : fleet(fleet) {}
 
-  /// The answer to one call; null if there is no such call.
-  nlohmann::json carry_out(const std::string& call, const nlohmann::json& body);
+  /// Executes a call and returns its response; null if the call is unknown.
+  nlohmann::json handle(const std::string& call, const nlohmann::json& body);
 
  private:
-  /// What has run, what broke the rules of groups, and who lives.
+  /// The runs of requests, breaches of the rules of groups, and the servers
+  /// that run.
   nlohmann::json record() const;
-  /// Sets the faults that `body` names; the others stay.
+  /// Sets the faults given in `body`; others are unchanged.
   nlohmann::json set_faults(const nlohmann::json& body);
 
   fleet_standin& fleet;
--- a/standin/platform.cc
+++ b/standin/platform.cc
@@ -1,9 +1,10 @@
-// A small stand-in of the platform's object API, for tests and the demo.
+// A minimal version of the platform's object API, for tests and the demo.
 //
-// Objects with versions, conditional updates, list and watch, in the manner
-// of Kubernetes. Faults are switched with POST /standin/faults, a JSON object
-// with any of: down, slow_ms, lose_answers (the next N writes take effect but
-// are not answered), history (changes that a watch can go back).
+// It has versioned objects, conditional updates, list and watch, similar to the
+// Kubernetes API. POST /standin/faults injects faults by a JSON object with any
+// of: down (all calls fail with 503), slow_ms (delay of each call),
+// lose_answers (the next N writes take effect but are answered with 503),
+// history (number of past changes kept for watches).
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
 #include <absl/synchronization/mutex.h>
@@ -16,10 +17,11 @@
 #include <map>
 #include <nlohmann/json.hpp>
 
-ABSL_FLAG(int, port, 0, "port to listen at, on 127.0.0.1");
-ABSL_FLAG(std::string, seed, "", "file of objects to start with, one a line");
-ABSL_FLAG(std::string, log, "", "file for a line on each change");
-ABSL_FLAG(int, rate, 2000, "calls a second before 429 is answered");
+ABSL_FLAG(int, port, 0, "port to listen on (address 127.0.0.1)");
+ABSL_FLAG(std::string, seed, "",
+          "file with the initial objects, one JSON text per line");
+ABSL_FLAG(std::string, log, "", "log file, one line per change");
+ABSL_FLAG(int, rate, 2000, "calls per second above which calls get 429");
 
 namespace {
 
@@ -33,7 +35,7 @@
 
 class platform {
  public:
-  /// Reads objects ({"kind", "metadata", "spec"}), one JSON text a line.
+  /// Reads objects ({"kind", "metadata", "spec"}), one JSON text per line.
   void seed(const std::string& file) {
     std::ifstream in(file);
     std::string line;
@@ -44,7 +46,7 @@
       const std::string kind = j["kind"];
       this->objects[{kind, j["metadata"]["name"]}] = j;
     }
-    this->expired = this->version;
+    this->expired_version = this->version;
   }
 
   void run(int port) {
@@ -52,19 +54,19 @@
     this->server.set_tcp_nodelay(true);
     const std::string kind = R"(/apis/spokesail/v1/([^/]+))";
     const std::string name = kind + "/([^/]+)";
-    this->server.Get(name, this->guarded([this](auto& req, auto& res) {
+    this->server.Get(name, this->with_faults([this](auto& req, auto& res) {
       this->get(req.matches[1], req.matches[2], res);
     }));
-    this->server.Put(name, this->guarded([this](auto& req, auto& res) {
+    this->server.Put(name, this->with_faults([this](auto& req, auto& res) {
       this->put(req, res, false);
     }));
-    this->server.Post(kind, this->guarded([this](auto& req, auto& res) {
+    this->server.Post(kind, this->with_faults([this](auto& req, auto& res) {
       this->put(req, res, true);
     }));
-    this->server.Delete(name, this->guarded([this](auto& req, auto& res) {
+    this->server.Delete(name, this->with_faults([this](auto& req, auto& res) {
       this->remove(req.matches[1], req.matches[2], res);
     }));
-    this->server.Get(kind, this->guarded([this](auto& req, auto& res) {
+    this->server.Get(kind, this->with_faults([this](auto& req, auto& res) {
       if (req.has_param("watch")) {
         this->watch(req, res);
       } else {
@@ -86,15 +88,15 @@
  private:
   using handler = httplib::Server::Handler;
 
-  int fault(const std::string& key) {
+  int fault_value(const std::string& key) {
     absl::MutexLock lock(&this->mutex);
     return this->faults.value(key, 0);
   }
 
-  handler guarded(handler inner) {
-    return [this, inner](const httplib::Request& req, httplib::Response& res) {
-      const int slow = this->fault("slow_ms");
-      if (slow > 0) absl::SleepFor(absl::Milliseconds(slow));
+  handler with_faults(handler handle) {
+    return [this, handle](const httplib::Request& req, httplib::Response& res) {
+      const int delay_ms = this->fault_value("slow_ms");
+      if (delay_ms > 0) absl::SleepFor(absl::Milliseconds(delay_ms));
       {
         absl::MutexLock lock(&this->mutex);
         this->calls[req.method + (req.has_param("watch") ? "-watch" : "")]++;
@@ -106,16 +108,16 @@
           return;
         }
       }
-      if (this->fault("down") > 0) {
+      if (this->fault_value("down") > 0) {
         res.status = 503;
         return;
       }
-      inner(req, res);
+      handle(req, res);
       if (req.method == "GET") return;
       absl::MutexLock lock(&this->mutex);
-      const int lose = this->faults.value("lose_answers", 0);
-      if (lose <= 0) return;
-      this->faults["lose_answers"] = lose - 1;
+      const int lost_answers_left = this->faults.value("lose_answers", 0);
+      if (lost_answers_left <= 0) return;
+      this->faults["lose_answers"] = lost_answers_left - 1;
       res.status = 503;
       res.body = "answer lost";
     };
@@ -144,10 +146,12 @@
       res.status = create ? 409 : 404;
       return;
     }
-    const std::string given = j["metadata"].value("resourceVersion", "");
+    const std::string expected_version =
+        j["metadata"].value("resourceVersion", "");
     const bool stale =
-        exists && !given.empty() &&
-        given != it->second["metadata"]["resourceVersion"].get<std::string>();
+        exists && !expected_version.empty() &&
+        expected_version !=
+            it->second["metadata"]["resourceVersion"].get<std::string>();
     if (stale) {
       res.status = 409;
       return;
@@ -188,9 +192,10 @@
                          {"spec", object.value("spec", json::object())}};
       this->log << line.dump() << std::endl;
     }
-    const auto kept = static_cast<size_t>(this->faults.value("history", 10000));
-    while (this->history.size() > kept) {
-      this->expired = this->history.front().version;
+    const auto max_history =
+        static_cast<size_t>(this->faults.value("history", 10000));
+    while (this->history.size() > max_history) {
+      this->expired_version = this->history.front().version;
       this->history.pop_front();
     }
   }
@@ -209,36 +214,38 @@
 
   void watch(const httplib::Request& req, httplib::Response& res) {
     const std::string kind = req.matches[1];
-    auto from = std::make_shared<int64_t>(
+    auto last_sent = std::make_shared<int64_t>(
         std::stoll(req.get_param_value("resourceVersion")));
-    res.set_chunked_content_provider("application/json", [this, kind, from](
-                                                             size_t,
-                                                             httplib::DataSink&
-                                                                 sink) {
-      if (this->fault("down") > 0) return false;
-      std::string lines;
-      {
-        absl::MutexLock lock(&this->mutex);
-        const auto news = [this, from]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(
-                              this->mutex) { return this->version > *from; };
-        this->mutex.AwaitWithTimeout(absl::Condition(&news),
-                                     absl::Milliseconds(500));
-        if (*from < this->expired) {
-          const json gone = {{"type", "ERROR"}, {"object", {{"code", 410}}}};
-          lines = gone.dump() + "\n";
-          sink.write(lines.data(), lines.size());
-          return false;
-        }
-        for (const auto& c : this->history) {
-          if (c.version > *from && c.kind == kind) {
-            lines += c.event.dump() + "\n";
+    res.set_chunked_content_provider(
+        "application/json",
+        [this, kind, last_sent](size_t, httplib::DataSink& sink) {
+          if (this->fault_value("down") > 0) return false;
+          std::string lines;
+          {
+            absl::MutexLock lock(&this->mutex);
+            const auto has_changes =
+                [this, last_sent]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(this->mutex) {
+                  return this->version > *last_sent;
+                };
+            this->mutex.AwaitWithTimeout(absl::Condition(&has_changes),
+                                         absl::Milliseconds(500));
+            if (*last_sent < this->expired_version) {
+              const json expired_error = {{"type", "ERROR"},
+                                          {"object", {{"code", 410}}}};
+              lines = expired_error.dump() + "\n";
+              sink.write(lines.data(), lines.size());
+              return false;
+            }
+            for (const auto& c : this->history) {
+              if (c.version > *last_sent && c.kind == kind) {
+                lines += c.event.dump() + "\n";
+              }
+            }
+            *last_sent = this->version;
           }
-        }
-        *from = this->version;
-      }
-      if (lines.empty()) lines = "{\"type\":\"BOOKMARK\"}\n";
-      return sink.write(lines.data(), lines.size());
-    });
+          if (lines.empty()) lines = "{\"type\":\"BOOKMARK\"}\n";
+          return sink.write(lines.data(), lines.size());
+        });
   }
 
   std::ofstream log{absl::GetFlag(FLAGS_log), std::ios::app};
@@ -249,7 +256,7 @@
   std::map<std::pair<std::string, std::string>, json> objects;
   std::deque<change> history;
   int64_t version = 0;
-  int64_t expired = 0;
+  int64_t expired_version = 0;
   int64_t rate_second = 0;
   int rate_calls = 0;
 };
