--- a/example/embed.cc
+++ b/example/embed.cc
@@ -1,5 +1,5 @@
-// Embeds the coordination parts without the daemon: plans a placement of one
-// model over two fabric domains and prints it.
+// Uses the library without the daemon: computes a placement of one model over
+// two fabric domains and prints its groups.
 #include <iostream>
 
 #include "spokesail/placement.h"
