--- a/src/node-message.capnp
+++ b/src/node-message.capnp
@@ -1,90 +1,99 @@
-# What nodes tell each other in datagrams.
+# Datagrams between nodes.
 @0xd1f0a6b3c2e84b97;
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("spokesail::rpc");
 
+# The load of an endpoint: a group, by its name, or a plain server, by its id.
 struct Place {
   name @0 :Text;
   running @1 :UInt32;
+  # Pending prefill tokens: prompt tokens of the requests that have not yet had
+  # their first event.
   unreadTokens @2 :Float32;
 }
 
-# How fast a group answers, as the sender has seen it of late.
+# How slow an endpoint is, by the recent requests of the sender.
 struct Speed {
   place @0 :Text;
-  # Times that first events took against what the engine's figures predict.
+  # Factor by which it is slower than other endpoints of its kind: the time to
+  # the first event, relative to the prediction from the engine's profile,
+  # raised by failures.
   slowness @1 :Float32;
-  # First events that it is from.
+  # Number of requests that this is computed from; older ones count for less.
   samples @2 :UInt32;
 }
 
-# What callers ask of one model, a second.
+# Callers' demand for one model. All figures are per second.
 struct Demand {
   service @0 :Text;
   model @1 :Text;
   requests @2 :Float32;
   promptTokens @3 :Float32;
   answerTokens @4 :Float32;
-  # Requests that found no room.
+  # Requests that were refused for lack of capacity.
   refused @5 :Float32;
 }
 
-# What the holder of the controller's lease says.
+# State of the lease holder. Nodes relay it to each other.
 struct HolderWord {
   leaseVersion @0 :Int64;
   leaseRecord @1 :Text;
-  # Grows with each word of a holder under one version of the lease.
+  # Grows with each change of the state under one version of the lease.
   sequence @2 :UInt64;
-  # Servers that the holder found not to answer.
+  # Servers that the holder found unresponsive.
   silent @3 :List(Text);
-  # Loads of weights that it began within its window.
+  # Loads of weights that the holder began within the last `load_window_s`.
   loadsBegun @4 :UInt32;
-  # The division of hosts among models, where it is not as stated.
+  # The shares of models whose allocation differs from the configured one.
   shares @5 :List(ModelShare);
 }
 
-# A model's part of the hosts of its service.
+# A model's share of the hosts of its service.
 struct ModelShare {
   service @0 :Text;
   model @1 :Text;
   share @2 :Float64;
 }
 
-# Sent to peers at a bounded rate.
+# Load, speeds and demand; sent to peers at a bounded rate.
 struct Gossip {
-  # What the sender, or its whole data hall, has in flight.
+  # Requests in flight of the sender, or of its whole data hall.
   places @0 :List(Place);
   # Set by the holder of the lease.
   holder @1 :HolderWord;
-  # Whether the sender has had requests.
+  # Whether the sender has received requests.
   requestsSeen @2 :Bool;
-  # Set if the places are those of the sender's whole data hall: the nodes that
-  # live there, and the first of them.
+  # Set if `places` covers the sender's whole data hall: the number of live
+  # nodes in it, and its top-ranked nodes, to which other halls send their
+  # gossip.
   hallNodes @3 :UInt32;
   hallFirsts @4 :List(Text);
-  # What the sender has seen of groups.
+  # Speeds of endpoints, measured by the sender.
   speeds @5 :List(Speed);
-  # What callers asked of the sender, or of its whole data hall.
+  # Demand of the sender's callers, or of those of its whole data hall.
   demand @6 :List(Demand);
 }
 
-# Asks a relay for what has changed in the store.
+# Requests the changes of the store from a relay.
 struct NewsRequest {
-  # Given back with the answer, so that its age counts from the request.
+  # Repeated in the response, so that the ages in it are counted from the time
+  # of the request.
   nonce @0 :UInt64;
-  # Up to where the sender knows the servers.
+  # Revision up to which the sender has all changes of servers.
   serversRevision @1 :Int64;
-  # After which revision it was told of changes that do not follow on those; 0
-  # if of none.
+  # If the sender received changes that it could not apply because earlier ones
+  # are missing: the revision after which they start. 0 if it received none.
   serversToldAfter @2 :Int64;
 }
 
+# One change of a server.
 struct ServerNews {
   id @0 :Text;
   revision @1 :Int64;
   gone @2 :Bool;
-  # Time until the server counts as gone; 0 while its entry stands.
+  # Time until the server is removed, if its entry is missing; 0 while the entry
+  # exists.
   lapsesInMs @3 :UInt32;
   service @4 :Text;
   address @5 :Text;
@@ -97,84 +106,91 @@
   epoch @12 :Int64;
   rank @13 :UInt32;
   phase @14 :UInt8;
-  # Tells the starts of one id apart; 0 if it is not known.
+  # Distinguishes restarts under the same id; 0 if unknown.
   incarnation @15 :Int64;
-  # Time until the server is warm; 0 if it is.
+  # Time until the server is warm; 0 if it is warm.
   coldForMs @16 :UInt32;
 }
 
-# The data halls whose servers are to get no requests.
+# The data halls whose servers must not receive requests.
 struct Evacuations {
-  # The store's revision as of which this holds.
+  # Revision of the store that the list was read at.
   revision @0 :Int64;
-  # Age of the sender's proof that it still holds.
+  # Time since the sender last verified that the list is current.
   ageMs @1 :UInt32;
   halls @2 :List(Text);
 }
 
+# An update of the store's state, sent by a relay on request or unasked.
 struct News {
-  # 0 if nobody asked.
+  # Nonce of the request; 0 if the update was not requested.
   nonce @0 :UInt64;
   configRevision @1 :Int64;
-  # Age of the sender's proof that this configuration is in force.
+  # Time since the sender last verified that this configuration is in force.
   configAgeMs @2 :UInt32;
-  # The news hold all changes after the first revision up to the second.
+  # `servers` holds all changes after the first revision up to the second.
   fromRevision @3 :Int64;
   toRevision @4 :Int64;
   servers @5 :List(ServerNews);
   storeReachable @6 :Bool;
-  # The word of the lease's holder, as the sender last heard it.
+  # The latest state of the lease holder that the sender has received.
   holder @7 :HolderWord;
-  # What other halls have in flight, and the nodes that live there.
+  # Requests in flight of the other data halls, and the number of live nodes in
+  # them.
   farPlaces @8 :List(Place);
   farNodes @9 :UInt32;
   requestsSeen @10 :Bool;
-  # Whether the sender knows all servers and these are the last of them.
+  # Whether the sender has the full list of servers and this message completes
+  # it.
   allServers @11 :Bool;
-  # Age of the sender's proof that it knows all changes of servers; 0 if it does
-  # not say.
+  # Time since the sender last verified that it has all changes of servers; 0 if
+  # its version does not send this field.
   serversAgeMs @12 :UInt32;
-  # Set if the sender follows evacuations and has read them.
+  # Set once the sender has read the evacuations, if it watches them.
   evacuations @13 :Evacuations;
 }
 
-# Tells the holder of the lease, or the nodes of the hall, of servers that do
-# not answer.
+# Reports unresponsive servers to the lease holder or to the nodes of the data
+# hall.
 struct Suspicion {
   servers @0 :List(Text);
-  # The group that lost the servers; empty if it is not known.
+  # The group that the servers are members of; empty if unknown.
   group @1 :Text;
 }
 
-# Servers that ended under one request.
+# Crashes of servers that happened while they ran one request.
 struct CrashEvidence {
-  # The request: its workspace and its content, as hashes.
+  # Hashes of the request's workspace and content, which identify it.
   workspace @0 :UInt64;
   content @1 :UInt64;
-  # How far any run of it came.
+  # The furthest point that any run of the request has reached, counted as
+  # `point` below; the largest Int64 if a run was completed. Crashes before this
+  # point are not due to the request, since a run got past it.
   passed @2 :Int64;
-  # Time since the last of them ended.
+  # Time since the latest of the crashes.
   ageMs @3 :UInt32;
   crashes @4 :List(Crash);
 
   struct Crash {
-    # Hash of one start of a server.
+    # Hash of the server instance, that is of its id and incarnation.
     server @0 :UInt64;
-    # How far the request had come.
+    # Last event of the response that had been relayed before the crash; -1 if
+    # none had.
     point @1 :Int64;
-    # Whether the server had begun to answer.
+    # Whether the server had begun to respond to the request.
     begun @2 :Bool;
-    # Whether the request was sent there after a server had ended under it.
+    # Whether this was a retry after another server had crashed under the
+    # request.
     repeated @3 :Bool;
   }
 }
 
-# Which requests crash the servers that run them.
+# Reports requests that may crash the servers that run them.
 struct CrashReport {
   evidence @0 :List(CrashEvidence);
-  # Hash of all that the sender holds for proved.
+  # Hash of the requests that the sender has found to crash servers.
   digest @1 :UInt64;
-  # Whether the receiver is to answer if its own digest is another.
+  # Whether the receiver should reply if its own digest differs.
   asks @2 :Bool;
 }
 
@@ -186,16 +202,17 @@
   # Whether the server advertises a limit, and the limit in requests per second.
   limited @2 :Bool;
   perS @3 :Float64;
-  # Time since the answer that set or ended the limit.
+  # Time since the response that set or ended the limit.
   ageMs @4 :UInt32;
 }
 
-# Asks the holder of the lease for requests that may be sent to servers that are
-# cold or advertise a rate limit.
+# Asks the lease holder to grant requests to servers that are cold or advertise
+# a rate limit.
 struct ColdRequest {
-  # Given back with the answer, so that its time counts from the question.
+  # Repeated in the response, so that the lifetime of the grant is counted from
+  # the time of the request.
   nonce @0 :UInt64;
-  # Servers, and how many requests are wanted for each.
+  # Servers, and the number of requests wanted for each.
   wanted @1 :List(ServerCount);
   # The sender's state of these servers' rate limits.
   limits @2 :List(LimitReport);
@@ -205,7 +222,7 @@
 struct ColdGrant {
   nonce @0 :UInt64;
   granted @1 :List(ServerCount);
-  # Limits for which the sender's state is newer than the asker's.
+  # Limits for which the sender's state is newer than the requester's.
   limits @2 :List(LimitReport);
 }
 
@@ -214,19 +231,21 @@
   reports @0 :List(LimitReport);
 }
 
+# A number of requests to one server instance.
 struct ServerCount {
   server @0 :Text;
-  # Tells the starts of one id apart.
+  # Distinguishes restarts under the same id; 0 if unknown.
   incarnation @1 :Int64;
   count @2 :UInt32;
 }
 
+# One datagram.
 struct NodeMessage {
   node @0 :Text;
   hall @1 :Text;
-  # Chosen at random at each start.
+  # Random number chosen at each start of the sender.
   boot @2 :UInt64;
-  # Grows with each message of a start.
+  # Grows with each message; begins anew at each start of the sender.
   sequence @3 :UInt64;
   union {
     gossip @4 :Gossip;
@@ -238,6 +257,6 @@
     coldGrant @11 :ColdGrant;
     limitNews @12 :LimitNews;
   }
-  # The sender's part of a processor core.
+  # Processor cores that the sender may use; below 1 for a part of one.
   cores @8 :Float32;
 }
