--- a/include/spokesail/change-relay.h
+++ b/include/spokesail/change-relay.h
@@ -51,9 +51,9 @@
   void on_sent(const std::string& follower, int64_t from, int64_t to,
                int64_t config, absl::Time now);
 
-  /// Returns the followers that lack something of `now_known`. Drops followers
+  /// Returns the followers that lack something of `current`. Drops followers
   /// that have sent no request for a while.
-  std::vector<pending_update> pending_updates(const known_revisions& now_known,
+  std::vector<pending_update> pending_updates(const known_revisions& current,
                                               absl::Time now);
 
  private:
--- a/include/spokesail/lease-takeover.h
+++ b/include/spokesail/lease-takeover.h
@@ -17,7 +17,7 @@
 
 /// How long a candidate waits after a lease has expired. A node without a rank
 /// waits longer; `chance`, from 0 to 1, is its random share of the extra wait.
-absl::Duration takeover_delay(std::optional<int> rank, double chance);
+absl::Duration takeover_delay(std::optional<int> rank, double random_unit);
 
 /// How long after its start a node that has learned of no holder waits before
 /// it reads the lease from the store. Candidates read it in order of rank, so
@@ -25,6 +25,6 @@
 /// 295 nodes started at once and each read after a random time within two
 /// seconds, half of them read the lease, and a node on an eighth of a core
 /// could become the first holder.
-absl::Duration first_read_delay(std::optional<int> rank, double chance);
+absl::Duration first_read_delay(std::optional<int> rank, double random_unit);
 
 }  // namespace spokesail
--- a/include/spokesail/staleness.h
+++ b/include/spokesail/staleness.h
@@ -36,7 +36,7 @@
 };
 
 /// Whether a relay that reports these ages is too stale to be used.
-bool relay_stale(const news_age& said, const staleness_bounds& bounds);
+bool relay_stale(const news_age& reported, const staleness_bounds& bounds);
 
 /// Further conditions that decide whether a node reads the store itself.
 struct relay_status {
--- a/src/change-relay.cc
+++ b/src/change-relay.cc
@@ -27,7 +27,7 @@
   // The follower has received a message that was sent after this one. In halls
   // that lose 5 in 100 messages, 1 in 1,000 changes was missed for 1.4 to 1.7 s
   // and longer without this check, and for 0.11 to 0.35 s with it, depending on
-  // the rate of changes (test halls_keep_up_on_links_that_lose_messages).
+  // the rate of changes (test bounded_lag_on_lossy_links).
   if (sent.to <= position.unapplied_after) return true;
   return now - sent.at >= resend_timeout;
 }
@@ -37,17 +37,17 @@
                                   absl::Time now) {
   follower_state& f = this->followers[follower];
   f.last_request = now;
-  auto& waiting = f.unconfirmed;
-  while (!waiting.empty() && waiting.front().to <= position.known) {
-    waiting.pop_front();
+  auto& queue = f.unconfirmed;
+  while (!queue.empty() && queue.front().to <= position.known) {
+    queue.pop_front();
   }
   // Each message has its own timeout. A timeout that restarted with every
   // message would never expire while changes continue, and a follower that lost
   // one message would receive nothing more.
-  const bool on_its_way =
-      !waiting.empty() && !is_lost(waiting.front(), position, now);
-  if (on_its_way) return f.sent_up_to.servers;
-  waiting.clear();
+  const bool in_transit =
+      !queue.empty() && !is_lost(queue.front(), position, now);
+  if (in_transit) return f.sent_up_to.servers;
+  queue.clear();
   return position.known;
 }
 
@@ -60,14 +60,14 @@
 }
 
 std::vector<change_sender::pending_update> change_sender::pending_updates(
-    const known_revisions& now_known, absl::Time now) {
+    const known_revisions& current, absl::Time now) {
   std::erase_if(this->followers, [&](const auto& item) {
     return now - item.second.last_request > follower_timeout;
   });
   std::vector<pending_update> out;
   for (const auto& [name, f] : this->followers) {
-    const bool behind = f.sent_up_to.servers < now_known.servers ||
-                        f.sent_up_to.config < now_known.config;
+    const bool behind = f.sent_up_to.servers < current.servers ||
+                        f.sent_up_to.config < current.config;
     if (behind) out.push_back({name, f.sent_up_to.servers});
   }
   return out;
--- a/src/evacuation-feed.cc
+++ b/src/evacuation-feed.cc
@@ -105,9 +105,10 @@
     }
   }
   // A watch that timed out saw no change until the end of its wait.
-  const absl::Time over = sent + this->current_watch_wait;
-  const bool ran_out = changes.objects.empty() && this->node.now() >= over;
-  const absl::Time proof = ran_out ? over : sent;
+  const absl::Time wait_end = sent + this->current_watch_wait;
+  const bool timed_out =
+      changes.objects.empty() && this->node.now() >= wait_end;
+  const absl::Time proof = timed_out ? wait_end : sent;
   apply_evacuations(this->node, snapshot, proof, "store");
   return absl::ZeroDuration();
 }
--- a/src/hall-evacuations.cc
+++ b/src/hall-evacuations.cc
@@ -9,9 +9,9 @@
 
 using names = std::set<std::string>;
 
-names without(const names& all, const names& taken) {
+names difference(const names& all, const names& removed) {
   names out;
-  std::set_difference(all.begin(), all.end(), taken.begin(), taken.end(),
+  std::set_difference(all.begin(), all.end(), removed.begin(), removed.end(),
                       std::inserter(out, out.end()));
   return out;
 }
@@ -24,8 +24,8 @@
   // proves.
   this->last_verified = std::max(this->last_verified, as_of - snapshot.age);
   if (this->learned && snapshot.revision <= this->revision) return {};
-  evacuation_change change = {without(snapshot.halls, this->halls),
-                              without(this->halls, snapshot.halls)};
+  evacuation_change change = {difference(snapshot.halls, this->halls),
+                              difference(this->halls, snapshot.halls)};
   this->learned = true;
   this->revision = snapshot.revision;
   this->halls = snapshot.halls;
--- a/src/lease-manager.cc
+++ b/src/lease-manager.cc
@@ -55,14 +55,15 @@
 std::optional<lease_snapshot> lease_manager::snapshot() const {
   // A released lease is sent as well, so that other nodes need not wait for its
   // expiry.
-  const bool gave_up = this->releasing && this->lease.released();
-  if (!this->holds() && !gave_up) return std::nullopt;
+  const bool just_released = this->releasing && this->lease.released();
+  if (!this->holds() && !just_released) return std::nullopt;
   const object& seen = this->lease.last_object();
   return lease_snapshot{seen.version, seen.body};
 }
 
-void lease_manager::observe(const lease_snapshot& said) {
-  object seen{{kinds::lease, lease_name}, said.version, said.record, false};
+void lease_manager::observe(const lease_snapshot& reported) {
+  object seen{
+      {kinds::lease, lease_name}, reported.version, reported.record, false};
   this->lease.observe(seen, this->node.now(), this->takeover_jitter_share());
   this->known = true;
 }
--- a/src/lease-manager.h
+++ b/src/lease-manager.h
@@ -32,7 +32,7 @@
   void step_down();
 
   /// Handles the lease as reported by a peer that holds it.
-  void observe(const lease_snapshot& said);
+  void observe(const lease_snapshot& reported);
 
   /// Whether this node holds the lease and is not releasing it.
   bool holds() const;
--- a/src/lease-takeover.cc
+++ b/src/lease-takeover.cc
@@ -33,14 +33,14 @@
   return static_cast<int>(at - order.begin());
 }
 
-absl::Duration takeover_delay(std::optional<int> rank, double chance) {
-  const double turns = rank ? *rank : max_ranked_candidates * (1 + chance);
-  return turns * takeover_step;
+absl::Duration takeover_delay(std::optional<int> rank, double random_unit) {
+  const double steps = rank ? *rank : max_ranked_candidates * (1 + random_unit);
+  return steps * takeover_step;
 }
 
-absl::Duration first_read_delay(std::optional<int> rank, double chance) {
+absl::Duration first_read_delay(std::optional<int> rank, double random_unit) {
   if (rank) return earliest_read + *rank * read_step;
-  return unranked_read + chance * unranked_read_jitter;
+  return unranked_read + random_unit * unranked_read_jitter;
 }
 
 }  // namespace spokesail
--- a/src/lease.cc
+++ b/src/lease.cc
@@ -46,11 +46,11 @@
 
 void lease::adopt_version(const object& seen, absl::Time now,
                           double random_unit) {
-  const auto read = read_record(seen.body);
+  const auto parsed = read_record(seen.body);
   this->known = true;
   this->base = seen;
-  if (read) {
-    this->record = *read;
+  if (parsed) {
+    this->record = *parsed;
   } else {
     // The fencing number known before remains in force.
     this->record.holder = unknown_holder;
@@ -80,13 +80,14 @@
                                         const std::string& write_id) {
   if (this->call_pending || !this->known) return std::nullopt;
   if (!this->write) {
-    const bool mine = this->record.holder == this->self && this->held(now);
-    const bool early = mine ? now < this->renew_at : now < this->takeover_at;
-    if (early && !this->releasing) return std::nullopt;
+    const bool is_holder = this->record.holder == this->self && this->held(now);
+    const bool too_early =
+        is_holder ? now < this->renew_at : now < this->takeover_at;
+    if (too_early && !this->releasing) return std::nullopt;
     lease_record next = this->record;
     next.holder = this->releasing ? "" : this->self;
     next.renewals++;
-    if (!mine && !this->releasing) next.fence++;
+    if (!is_holder && !this->releasing) next.fence++;
     this->write = make_write(this->base, json(next).dump(), write_id);
     this->write_sent = now;
   }
--- a/src/membership.cc
+++ b/src/membership.cc
@@ -129,19 +129,19 @@
     }
   }
   for (const auto& [hall, addresses] : other_halls) {
-    std::vector<std::string> alive_ones;
+    std::vector<std::string> alive_addresses;
     for (const auto& address : addresses) {
       const member* m = this->find_address(address);
       if (m && this->alive(*m, now) && !m->stopping) {
-        alive_ones.push_back(address);
+        alive_addresses.push_back(address);
       }
     }
     // If no node of the hall is known to be alive, its addresses are tried one
     // after the other.
-    const auto turn = std::to_string(absl::ToUnixSeconds(now) / 2);
-    const bool none = alive_ones.empty();
-    const auto key = none ? this->self.name + turn : this->self.name;
-    for (auto& a : rendezvous(key, none ? addresses : alive_ones, 1)) {
+    const auto rotation = std::to_string(absl::ToUnixSeconds(now) / 2);
+    const bool none = alive_addresses.empty();
+    const auto key = none ? this->self.name + rotation : this->self.name;
+    for (auto& a : rendezvous(key, none ? addresses : alive_addresses, 1)) {
       out.push_back(a);
     }
   }
--- a/src/relay-choice.cc
+++ b/src/relay-choice.cc
@@ -68,7 +68,7 @@
   std::vector<relay_candidate> nodes = view.hall_peers;
   nodes.push_back(view.self);
   std::vector<relay_candidate> order = rank_relays(std::move(nodes));
-  const auto named = [&](const std::string& name) {
+  const auto find_by_name = [&](const std::string& name) {
     return std::find_if(order.begin(), order.end(),
                         [&](const auto& node) { return node.name == name; });
   };
@@ -76,10 +76,11 @@
     return !name.empty() && view.excluded.count(name) == 0;
   };
   if (view.holder_in_hall && usable(view.holder)) {
-    const auto at = named(view.holder);
+    const auto at = find_by_name(view.holder);
     if (at != order.end()) std::rotate(order.begin(), at, at + 1);
   }
-  const auto rank = static_cast<size_t>(named(view.self.name) - order.begin());
+  const auto rank =
+      static_cast<size_t>(find_by_name(view.self.name) - order.begin());
   relay_choice out;
   out.top_ranked = rank < top_ranked_per_hall;
   out.upstream = view.self.name;
--- a/src/remote-gossip.cc
+++ b/src/remote-gossip.cc
@@ -66,18 +66,18 @@
 
 std::vector<model_demand> remote_gossip::demand_to_send(bool mesh,
                                                         absl::Time now) const {
-  std::vector<model_demand> asked = this->node.asked.rates(now);
-  if (mesh) return asked;
-  return this->node.demand.hall_sum(this->node.settings.hall, asked, now);
+  std::vector<model_demand> own = this->node.own_demand.rates(now);
+  if (mesh) return own;
+  return this->node.demand.hall_sum(this->node.settings.hall, own, now);
 }
 
 std::vector<std::string> remote_gossip::top_ranked_of(
     const std::string& hall, const std::vector<relay_candidate>& known,
     absl::Time now) const {
-  const auto word = this->halls.find(hall);
+  const auto summary = this->halls.find(hall);
   const bool fresh =
-      word != this->halls.end() && now - word->second.at < hall_timeout;
-  return fresh ? word->second.firsts : top_ranked(relay_order(known));
+      summary != this->halls.end() && now - summary->second.at < hall_timeout;
+  return fresh ? summary->second.firsts : top_ranked(relay_order(known));
 }
 
 void remote_gossip::send_due(const gossip& own, absl::Time now) {
@@ -90,42 +90,42 @@
       this->link.hall_relay_order().front() != this->node.settings.node) {
     return;
   }
-  gossip said = mesh ? own : this->summarize_hall(own, now);
-  const bool tells_demand = this->node.settings.groups.follow_demand &&
+  gossip report = mesh ? own : this->summarize_hall(own, now);
+  const bool sends_demand = this->node.settings.groups.follow_demand &&
                             now - this->demand_sent >= demand_period;
-  if (!tells_demand && said == this->last_gossip &&
+  if (!sends_demand && report == this->last_gossip &&
       now - this->last_sent < max_silence) {
     return;
   }
-  this->last_gossip = said;
+  this->last_gossip = report;
   this->last_sent = now;
-  if (tells_demand) {
+  if (sends_demand) {
     this->demand_sent = now;
-    said.demand = this->demand_to_send(mesh, now);
+    report.demand = this->demand_to_send(mesh, now);
   }
   if (mesh) {
-    this->link.send_all(said, true);
+    this->link.send_all(report, true);
     return;
   }
   for (const auto& [hall, known] : this->link.remote_hall_peers()) {
     for (const auto& name : this->top_ranked_of(hall, known, now)) {
-      this->link.send(name, said);
+      this->link.send(name, report);
     }
   }
 }
 
-void remote_gossip::receive(const std::string& peer, const gossip& said,
+void remote_gossip::receive(const std::string& peer, const gossip& report,
                             absl::Time now) {
   const std::string hall = this->link.hall_of(peer);
-  if (said.hall_nodes == 0) {
-    this->node.loads.update_peer(peer, said.places, now, true);
-    this->node.demand.update_node(peer, hall, said.demand, now);
+  if (report.hall_nodes == 0) {
+    this->node.loads.update_peer(peer, report.places, now, true);
+    this->node.demand.update_node(peer, hall, report.demand, now);
     return;
   }
-  this->node.demand.update_hall(hall, said.demand, now);
-  this->halls[hall] = {said.hall_nodes, said.hall_contacts, now};
+  this->node.demand.update_hall(hall, report.demand, now);
+  this->halls[hall] = {report.hall_nodes, report.hall_contacts, now};
   this->node.loads.remove_peer(relayed_peer);
-  this->node.loads.update_peer(hall_peer(hall), said.places, now, true);
+  this->node.loads.update_peer(hall_peer(hall), report.places, now, true);
 }
 
 bool remote_gossip::heard_directly(absl::Time now) const {
@@ -146,8 +146,8 @@
   if (this->meshed()) return this->link.count_live_remote_peers();
   if (!this->heard_directly(now)) return this->relayed_nodes;
   int sum = 0;
-  for (const auto& [hall, word] : this->halls) {
-    if (now - word.at < hall_timeout) sum += word.nodes;
+  for (const auto& [hall, summary] : this->halls) {
+    if (now - summary.at < hall_timeout) sum += summary.nodes;
   }
   return sum;
 }
--- a/src/server-changes.cc
+++ b/src/server-changes.cc
@@ -37,19 +37,20 @@
 }
 
 std::vector<server_change_batch> split_server_changes(
-    std::vector<server_change> news, size_t most, int64_t from, int64_t to) {
+    std::vector<server_change> changes, size_t max_size, int64_t from,
+    int64_t to) {
   const auto revision_of = [](const server_change& item) {
     return item.server.revision;
   };
-  std::sort(news.begin(), news.end(), [&](const auto& a, const auto& b) {
+  std::sort(changes.begin(), changes.end(), [&](const auto& a, const auto& b) {
     return revision_of(a) < revision_of(b);
   });
   std::vector<server_change_batch> out(1);
   out.front().from_revision = from;
-  for (auto& item : news) {
+  for (auto& item : changes) {
     server_change_batch& last = out.back();
     // Changes of one revision stay together.
-    const bool full = last.servers.size() >= most &&
+    const bool full = last.servers.size() >= max_size &&
                       revision_of(item) != revision_of(last.servers.back());
     if (full) {
       last.to_revision = std::max(from, revision_of(item) - 1);
--- a/src/server-changes.h
+++ b/src/server-changes.h
@@ -28,7 +28,8 @@
 /// changes, to be applied in order; changes of one revision are not split.
 /// Returns at least one part.
 std::vector<server_change_batch> split_server_changes(
-    std::vector<server_change> news, size_t most, int64_t from, int64_t to);
+    std::vector<server_change> changes, size_t max_size, int64_t from,
+    int64_t to);
 
 /// Applies changes received from another node. Returns false if none was new.
 bool apply_server_changes(server_directory& directory,
--- a/src/server-directory.cc
+++ b/src/server-directory.cc
@@ -32,15 +32,15 @@
 };
 
 void add_member(group_parts& parts, const server_entry& entry) {
-  const group_membership& said = entry.membership;
-  const auto rank = static_cast<size_t>(said.rank);
+  const group_membership& reported = entry.membership;
+  const auto rank = static_cast<size_t>(reported.rank);
   if (parts.view.members.size() <= rank) {
     parts.view.members.resize(rank + 1);
     parts.phases.resize(rank + 1, member_phase::none);
   }
   if (!parts.view.members[rank].empty()) parts.disputed = true;
   parts.view.members[rank] = entry.id;
-  parts.phases[rank] = said.phase;
+  parts.phases[rank] = reported.phase;
   if (entry.draining && rank == 0) parts.leaving = true;
   if (parts.view.domain.empty()) parts.view.domain = entry.domain;
 }
@@ -111,8 +111,8 @@
 }
 
 void server_directory::mark_removed(const std::string& id, int64_t revision) {
-  const auto [at, first] = this->removal_revisions.emplace(id, revision);
-  if (!first) this->removals.erase({at->second, id});
+  const auto [at, inserted] = this->removal_revisions.emplace(id, revision);
+  if (!inserted) this->removals.erase({at->second, id});
   at->second = revision;
   this->removals.emplace(revision, id);
 }
@@ -186,12 +186,13 @@
     const std::string& service, const std::map<std::string, int>& sizes) {
   std::map<std::pair<std::string, int64_t>, group_parts> found;
   for (const auto& [id, server] : servers) {
-    const group_membership& said = server.entry.membership;
-    if (server.entry.service != service || said.phase == member_phase::none) {
+    const group_membership& reported = server.entry.membership;
+    if (server.entry.service != service ||
+        reported.phase == member_phase::none) {
       continue;
     }
-    if (said.rank < 0 || said.rank >= max_group_size) continue;
-    add_member(found[{said.group, said.epoch}], server.entry);
+    if (reported.rank < 0 || reported.rank >= max_group_size) continue;
+    add_member(found[{reported.group, reported.epoch}], server.entry);
   }
   std::vector<group_view> out;
   for (auto& [key, parts] : found) {
--- a/src/staleness.cc
+++ b/src/staleness.cc
@@ -47,10 +47,10 @@
 
 }  // namespace
 
-bool relay_stale(const news_age& said, const staleness_bounds& bounds) {
-  return said.config > config_limit(relay_stale_share, bounds) ||
-         said.servers > relay_stale_share * bounds.drain_deadline ||
-         evacuations_stale(said, relay_stale_share, bounds);
+bool relay_stale(const news_age& reported, const staleness_bounds& bounds) {
+  return reported.config > config_limit(relay_stale_share, bounds) ||
+         reported.servers > relay_stale_share * bounds.drain_deadline ||
+         evacuations_stale(reported, relay_stale_share, bounds);
 }
 
 bool must_watch_store(const news_age& known, const staleness_bounds& bounds,
--- a/src/store-relay.cc
+++ b/src/store-relay.cc
@@ -111,10 +111,10 @@
                               this->node.now());
 }
 
-void store_relay::tell(const std::string& peer, int64_t from,
-                       uint64_t position) {
+void store_relay::send_update(const std::string& peer, int64_t from,
+                              uint64_t request_nonce) {
   store_update out;
-  out.nonce = position;
+  out.nonce = request_nonce;
   out.config_revision = this->node.config_revision;
   const news_age age = this->node.age();
   out.config_age = wire_age(age.config);
@@ -149,30 +149,30 @@
                          const store_update_request& request) {
   const int64_t from =
       this->sender.on_request(peer, request.servers, this->node.now());
-  this->tell(peer, from, request.nonce);
+  this->send_update(peer, from, request.nonce);
 }
 
 void store_relay::push() {
   for (const auto& next :
        this->sender.pending_updates(this->known(), this->node.now())) {
-    this->tell(next.follower, next.from, 0);
+    this->send_update(next.follower, next.from, 0);
   }
 }
 
 bool store_relay::accept_response(const std::string& peer,
-                                  const store_update& said) {
-  if (peer != this->relay || said.nonce != this->nonce) return false;
+                                  const store_update& update) {
+  if (peer != this->relay || update.nonce != this->nonce) return false;
   this->answered = true;
   this->missed = 0;
   // A relay that has just started itself knows nothing yet.
-  if (!this->node.directory_listed && !said.all_servers &&
-      said.servers.empty()) {
+  if (!this->node.directory_listed && !update.all_servers &&
+      update.servers.empty()) {
     return false;
   }
-  news_age age = {said.config_age, said.servers_age};
-  if (said.evacuations) age.evacuations = said.evacuations->age;
+  news_age age = {update.config_age, update.servers_age};
+  if (update.evacuations) age.evacuations = update.evacuations->age;
   const bool outdated = relay_stale(age, this->node.settings.bounds);
-  if (!said.store_reachable || outdated) {
+  if (!update.store_reachable || outdated) {
     this->exclude_relay(peer, stale_exclusion, "its own state is stale");
     this->request_update();
     return false;
@@ -180,83 +180,84 @@
   this->confirmed = true;
   // A relay that is behind for a moment confirms nothing; with one that stays
   // behind, this node's own knowledge grows stale.
-  if (said.config_revision == this->node.config_revision) {
+  if (update.config_revision == this->node.config_revision) {
     this->node.config_verified_at = std::max(
-        this->node.config_verified_at, this->requested_at - said.config_age);
+        this->node.config_verified_at, this->requested_at - update.config_age);
   }
   return true;
 }
 
-void store_relay::take(const std::string& peer, const store_update& said) {
-  const bool asked_for = said.nonce != 0;
-  this->on_update(said);
-  this->apply_evacuated_halls(peer, said);
-  if (asked_for && !this->accept_response(peer, said)) return;
-  if (said.config_revision > this->node.config_revision) {
+void store_relay::receive(const std::string& peer, const store_update& update) {
+  const bool requested = update.nonce != 0;
+  this->on_update(update);
+  this->apply_evacuated_halls(peer, update);
+  if (requested && !this->accept_response(peer, update)) return;
+  if (update.config_revision > this->node.config_revision) {
     this->config_peer = peer;
-    this->on_config(said.config_revision);
+    this->on_config(update.config_revision);
   }
-  this->apply_servers(peer, said);
+  this->apply_servers(peer, update);
 }
 
 bool store_relay::answers_last_request(const std::string& peer,
-                                       const store_update& said) const {
-  return peer == this->relay && said.nonce != 0 && said.nonce == this->nonce;
+                                       const store_update& update) const {
+  return peer == this->relay && update.nonce != 0 &&
+         update.nonce == this->nonce;
 }
 
 void store_relay::apply_evacuated_halls(const std::string& peer,
-                                        const store_update& said) {
-  if (!said.evacuations || !this->node.settings.bounds.evacuate_deadline)
+                                        const store_update& update) {
+  if (!update.evacuations || !this->node.settings.bounds.evacuate_deadline)
     return;
-  const absl::Time as_of = this->answers_last_request(peer, said)
+  const absl::Time as_of = this->answers_last_request(peer, update)
                                ? this->requested_at
                                : absl::InfinitePast();
-  apply_evacuations(this->node, *said.evacuations, as_of, peer);
+  apply_evacuations(this->node, *update.evacuations, as_of, peer);
 }
 
 void store_relay::apply_servers(const std::string& peer,
-                                const store_update& said) {
+                                const store_update& update) {
   // Changes can be applied only by a node that has all earlier ones.
   const int64_t known = this->node.directory.revision();
-  if (!this->receiver.on_message(said.from_revision, known)) {
-    this->report_gap(peer, said);
+  if (!this->receiver.on_message(update.from_revision, known)) {
+    this->report_gap(peer, update);
     this->request_missing();
     return;
   }
-  const bool changed = apply_server_changes(this->node.directory, said.servers,
-                                            this->node.now());
-  this->node.directory.advance_revision(said.to_revision);
-  if (said.all_servers) {
+  const bool changed = apply_server_changes(this->node.directory,
+                                            update.servers, this->node.now());
+  this->node.directory.advance_revision(update.to_revision);
+  if (update.all_servers) {
     this->node.directory_listed = true;
-    this->record_servers_verified(said);
+    this->record_servers_verified(update);
   }
   if (!changed) return;
   this->node.invalidate_group_cache();
   this->node.log.state_change("servers_changed",
                               {{"relay", peer},
-                               {"count", absl::StrCat(said.servers.size())},
-                               {"rev", absl::StrCat(said.to_revision)}},
+                               {"count", absl::StrCat(update.servers.size())},
+                               {"rev", absl::StrCat(update.to_revision)}},
                               this->node.now());
   if (this->on_servers) this->on_servers();
 }
 
-void store_relay::record_servers_verified(const store_update& said) {
+void store_relay::record_servers_verified(const store_update& update) {
   // A message that was not requested may have been in transit for any time.
-  if (said.nonce == 0 || said.nonce != this->nonce) return;
+  if (update.nonce == 0 || update.nonce != this->nonce) return;
   this->node.servers_verified_at = std::max(
-      this->node.servers_verified_at, this->requested_at - said.servers_age);
+      this->node.servers_verified_at, this->requested_at - update.servers_age);
 }
 
 void store_relay::report_gap(const std::string& peer,
-                             const store_update& said) {
+                             const store_update& update) {
   this->node.metrics.count_update_event("gap");
   this->node.log.state_change(
       "news_gap",
       {{"relay", peer},
        {"known", absl::StrCat(this->node.directory.revision())},
-       {"from", absl::StrCat(said.from_revision)},
-       {"to", absl::StrCat(said.to_revision)},
-       {"asked", said.nonce != 0 ? "1" : "0"}},
+       {"from", absl::StrCat(update.from_revision)},
+       {"to", absl::StrCat(update.to_revision)},
+       {"asked", update.nonce != 0 ? "1" : "0"}},
       this->node.now());
 }
 
@@ -270,8 +271,8 @@
   }
   this->relay = chosen;
   this->answered = true;
-  const bool alone = this->relay == this->node.settings.node;
-  if (alone) return;
+  const bool no_relay = this->relay == this->node.settings.node;
+  if (no_relay) return;
   this->answered = false;
   this->requested_at = this->node.now();
   ++this->nonce;
@@ -280,14 +281,15 @@
 
 void store_relay::send_request() {
   const int64_t known = this->node.directory.revision();
-  const store_update_request asked{this->nonce, this->receiver.position(known)};
-  this->link.send(this->relay, asked);
+  const store_update_request request{this->nonce,
+                                     this->receiver.position(known)};
+  this->link.send(this->relay, request);
 }
 
 void store_relay::request_missing() {
-  const bool alone =
+  const bool no_relay =
       this->relay.empty() || this->relay == this->node.settings.node;
-  if (alone) return;
+  if (no_relay) return;
   const int64_t known = this->node.directory.revision();
   if (!this->receiver.request_out_of_turn(known, this->node.now())) return;
   this->node.metrics.count_update_event("asked_at_once");
@@ -305,8 +307,8 @@
   this->request_update();
   for (;;) {
     co_await this->node.sleep(request_period);
-    const bool excused = this->node.loop_delay > max_loop_delay;
-    if (!this->answered && !excused && ++this->missed >= max_missed) {
+    const bool loop_late = this->node.loop_delay > max_loop_delay;
+    if (!this->answered && !loop_late && ++this->missed >= max_missed) {
       this->exclude_relay(this->relay, silent_exclusion, "does not answer");
     }
     this->request_update();
--- a/src/store-relay.h
+++ b/src/store-relay.h
@@ -47,14 +47,14 @@
   void push();
 
   void answer(const std::string& peer, const store_update_request& request);
-  void take(const std::string& peer, const store_update& said);
+  void receive(const std::string& peer, const store_update& update);
 
   /// Name of the node that holds the controller's lease; empty if unknown.
   std::function<std::string()> holder;
   /// Adds what a relay forwards beside the changes of the store.
   std::function<void(store_update& out)> fill_update;
   /// Called with each update received.
-  std::function<void(const store_update& said)> on_update;
+  std::function<void(const store_update& update)> on_update;
   /// Called when a relay has a later configuration.
   std::function<void(int64_t revision)> on_config;
   /// Called when the servers have changed.
@@ -76,26 +76,28 @@
   relay_choice choose() const;
   /// Handles the response to the last request: whether the relay is fresh, and
   /// what it confirms. False if the relay knows no more than this node.
-  bool accept_response(const std::string& peer, const store_update& said);
+  bool accept_response(const std::string& peer, const store_update& update);
   /// Applies the changes of servers in `said` if they follow on this node's
   /// revision.
-  void apply_servers(const std::string& peer, const store_update& said);
+  void apply_servers(const std::string& peer, const store_update& update);
   /// The revisions up to which this node has what it forwards.
   change_sender::known_revisions known() const;
   /// Whether this is the response to the last request, so that its ages count
   /// from when that was sent. Other messages may have been in transit for any
   /// time.
   bool answers_last_request(const std::string& peer,
-                            const store_update& said) const;
+                            const store_update& update) const;
   /// Applies the evacuated halls in `said`, if it has any.
-  void apply_evacuated_halls(const std::string& peer, const store_update& said);
+  void apply_evacuated_halls(const std::string& peer,
+                             const store_update& update);
   /// Records how current the servers are according to a response.
-  void record_servers_verified(const store_update& said);
+  void record_servers_verified(const store_update& update);
   /// Logs and counts changes that do not follow on this node's revision.
-  void report_gap(const std::string& peer, const store_update& said);
+  void report_gap(const std::string& peer, const store_update& update);
   /// Sends a peer all changes of servers after `from` and the rest of the
   /// update, in response to a request or unrequested (0).
-  void tell(const std::string& peer, int64_t from, uint64_t question);
+  void send_update(const std::string& peer, int64_t from,
+                   uint64_t request_nonce);
   /// Excludes a relay for a while.
   void exclude_relay(const std::string& peer, absl::Duration time,
                      const char* why);
--- a/test/change-relay-test.cc
+++ b/test/change-relay-test.cc
@@ -22,45 +22,45 @@
 
 using test::relay_fleet;
 
-constexpr absl::Duration way_time = absl::Milliseconds(1);
+constexpr absl::Duration link_delay = absl::Milliseconds(1);
 
 /// Half of the shortest time for which a leaving server still serves in
 /// practice; the rest is for the store, and for requests in transit.
-constexpr absl::Duration most_lag = absl::Seconds(1);
+constexpr absl::Duration max_lag = absl::Seconds(1);
 
 /// A link that loses one of the changes that are sent without a request.
-class gap_in_link {
+class one_loss_link {
  public:
   absl::Duration operator()(const relay_fleet::message& m) {
-    if (m.position || m.asked || m.to != 1) return way_time;
-    ++this->unasked;
-    return this->unasked == lost_one ? relay_fleet::lost : way_time;
+    if (m.is_request || m.in_response || m.to != 1) return link_delay;
+    ++this->pushed;
+    return this->pushed == lost_index ? relay_fleet::lost : link_delay;
   }
 
  private:
-  static constexpr int lost_one = 10;
-  int unasked = 0;
+  static constexpr int lost_index = 10;
+  int pushed = 0;
 };
 
-TEST(change_relay, a_lost_message_is_made_up_for_while_changes_go_on) {
+TEST(change_relay, recovers_from_a_lost_message_during_changes) {
   // The holder of the lease, a hall's first node, and two below it.
-  relay_fleet fleet({0, 1, 1}, gap_in_link());
+  relay_fleet fleet({0, 1, 1}, one_loss_link());
   fleet.run_for(absl::Seconds(1));
   fleet.change_for(absl::Seconds(10), absl::Milliseconds(100));
-  EXPECT_LE(fleet.longest_lag(), most_lag);
+  EXPECT_LE(fleet.longest_lag(), max_lag);
   fleet.run_for(absl::Seconds(2));
   EXPECT_TRUE(fleet.agree());
 }
 
-TEST(change_relay, without_losses_each_change_is_sent_once_to_each) {
+TEST(change_relay, sends_each_change_once_without_losses) {
   constexpr int changes = 100;
   constexpr int followers = 3;
-  relay_fleet fleet({0, 1, 1}, [](const auto&) { return way_time; });
+  relay_fleet fleet({0, 1, 1}, [](const auto&) { return link_delay; });
   fleet.run_for(absl::Seconds(1));
   fleet.change_for(changes * absl::Milliseconds(100), absl::Milliseconds(100));
   fleet.run_for(absl::Seconds(1));
   EXPECT_TRUE(fleet.agree());
-  EXPECT_LE(fleet.longest_lag(), 3 * way_time);
+  EXPECT_LE(fleet.longest_lag(), 3 * link_delay);
   EXPECT_EQ(fleet.changes_sent(), changes * followers);
 }
 
@@ -84,7 +84,7 @@
 
   absl::Duration operator()(const relay_fleet::message&) {
     if (this->random.unit() < this->loss) return relay_fleet::lost;
-    return way_time * (1 + 4 * this->random.unit());
+    return link_delay * (1 + 4 * this->random.unit());
   }
 
  private:
@@ -96,13 +96,13 @@
 /// took.
 struct loss_result {
   /// 1 in 1,000 changes at a node was missed for longer.
-  absl::Duration lag_of_999;
+  absl::Duration lag_p999;
   absl::Duration longest;
   /// How often a change was sent for each node that needed it.
   double sent = 0;
 };
 
-loss_result play_loss(double loss, absl::Duration gap) {
+loss_result simulate_loss(double loss, absl::Duration gap) {
   constexpr int nodes = 89;
   constexpr int seeds = 3;
   constexpr int changes = 600;
@@ -113,7 +113,7 @@
     fleet.change_for(changes * gap, gap);
     fleet.run_for(absl::Seconds(3));
     EXPECT_TRUE(fleet.agree());
-    out.lag_of_999 = std::max(out.lag_of_999, fleet.lag_at(0.999));
+    out.lag_p999 = std::max(out.lag_p999, fleet.lag_quantile(0.999));
     out.longest = std::max(out.longest, fleet.longest_lag());
     out.sent += static_cast<double>(fleet.changes_sent()) /
                 ((nodes - 1) * changes * seeds);
@@ -123,17 +123,17 @@
 
 /// Links with occasional or heavy loss, under 500, 50 and 5 changes a second;
 /// messages may be reordered.
-TEST(change_relay, halls_keep_up_on_links_that_lose_messages) {
+TEST(change_relay, bounded_lag_on_lossy_links) {
   for (const auto gap : {absl::Milliseconds(2), absl::Milliseconds(20),
                          absl::Milliseconds(200)}) {
-    const loss_result none = play_loss(0, gap);
+    const loss_result none = simulate_loss(0, gap);
     EXPECT_LE(none.longest, absl::Milliseconds(250)) << gap;
     EXPECT_LE(none.sent, 1.4) << gap;
-    const loss_result some = play_loss(0.05, gap);
-    EXPECT_LE(some.longest, most_lag) << gap;
+    const loss_result some = simulate_loss(0.05, gap);
+    EXPECT_LE(some.longest, max_lag) << gap;
     EXPECT_LE(some.sent, 1.4) << gap;
-    const loss_result many = play_loss(0.2, gap);
-    EXPECT_LE(many.lag_of_999, 2 * most_lag) << gap;
+    const loss_result many = simulate_loss(0.2, gap);
+    EXPECT_LE(many.lag_p999, 2 * max_lag) << gap;
     EXPECT_LE(many.sent, 1.8) << gap;
   }
 }
@@ -141,7 +141,7 @@
 /// Nodes that restart or change their relay, on links that lose and reorder
 /// messages, agree within a second of the last fault. A node's relay always
 /// precedes it, as in a hall's order.
-RC_GTEST_PROP(change_relay, all_agree_soon_after_whatever_happened, ()) {
+RC_GTEST_PROP(change_relay, converges_after_any_faults, ()) {
   constexpr int nodes = 10;
   std::vector<int> parents;
   for (int i = 1; i < nodes; ++i) {
@@ -151,15 +151,15 @@
   random_stream random{std::mt19937_64(*rc::gen::arbitrary<uint64_t>())};
   relay_fleet fleet(parents, [&](const relay_fleet::message&) {
     if (random.unit() < loss) return relay_fleet::lost;
-    return way_time * (1 + 9 * random.unit());
+    return link_delay * (1 + 9 * random.unit());
   });
   const int gap_ms = *rc::gen::inRange(2, 300);
   for (int step = 0; step < 20; ++step) {
     fleet.change_for(absl::Milliseconds(200), absl::Milliseconds(gap_ms));
     const int node = *rc::gen::inRange(1, nodes);
-    const int what = *rc::gen::inRange(0, 3);
-    if (what == 0) fleet.restart(node);
-    if (what == 1) fleet.move(node, *rc::gen::inRange(0, node));
+    const int fault = *rc::gen::inRange(0, 3);
+    if (fault == 0) fleet.restart(node);
+    if (fault == 1) fleet.set_relay(node, *rc::gen::inRange(0, node));
   }
   loss = 0;
   fleet.run_for(absl::Seconds(1));
@@ -167,21 +167,21 @@
 }
 
 /// A follower that restarts knows nothing, whatever was sent to it before.
-TEST(change_relay, a_follower_that_starts_again_is_told_at_once) {
+TEST(change_relay, restarted_follower_gets_changes_at_once) {
   const absl::Time start = absl::FromUnixSeconds(1000);
   change_sender sender;
   EXPECT_EQ(sender.on_request("a", {7, 0}, start), 7);
   sender.on_sent("a", 7, 9, 0, start);
-  EXPECT_EQ(sender.on_request("a", {0, 0}, start + way_time), 0);
+  EXPECT_EQ(sender.on_request("a", {0, 0}, start + link_delay), 0);
 }
 
-TEST(change_relay, what_is_on_its_way_is_not_sent_again) {
+TEST(change_relay, does_not_resend_changes_in_transit) {
   const absl::Time start = absl::FromUnixSeconds(1000);
   change_sender sender;
   sender.on_request("a", {7, 0}, start);
   sender.on_sent("a", 7, 8, 0, start);
-  sender.on_sent("a", 8, 9, 0, start + way_time);
-  const absl::Time later = start + 2 * way_time;
+  sender.on_sent("a", 8, 9, 0, start + link_delay);
+  const absl::Time later = start + 2 * link_delay;
   // It has received neither, the first, or only the second of them.
   EXPECT_EQ(sender.on_request("a", {7, 0}, later), 9);
   EXPECT_EQ(sender.on_request("a", {8, 0}, later), 9);
@@ -189,12 +189,12 @@
   EXPECT_EQ(sender.on_request("a", {8, 9}, later), 8);
   sender.on_sent("a", 8, 10, 0, later);
   // What was sent again is in transit in turn.
-  EXPECT_EQ(sender.on_request("a", {8, 9}, later + way_time), 10);
+  EXPECT_EQ(sender.on_request("a", {8, 9}, later + link_delay), 10);
 }
 
 /// A follower of an earlier version reports only its revision. Each message has
 /// its own timeout, however many follow.
-TEST(change_relay, what_is_not_confirmed_in_time_is_sent_again) {
+TEST(change_relay, resends_unconfirmed_changes) {
   const absl::Time start = absl::FromUnixSeconds(1000);
   change_sender sender;
   sender.on_request("a", {7, 0}, start);
@@ -207,7 +207,7 @@
   EXPECT_EQ(sender.on_request("a", {8, 0}, now), 8);
 }
 
-TEST(change_relay, a_relay_that_knows_less_than_its_follower_tells_the_rest) {
+TEST(change_relay, relay_behind_its_follower_sends_only_newer_changes) {
   const absl::Time start = absl::FromUnixSeconds(1000);
   change_sender sender;
   EXPECT_EQ(sender.on_request("a", {9, 0}, start), 9);
@@ -217,7 +217,7 @@
   EXPECT_EQ(sender.pending_updates({10, 3}, start), expected);
 }
 
-TEST(change_relay, a_follower_asks_out_of_turn_only_so_often) {
+TEST(change_relay, limits_out_of_turn_requests) {
   const absl::Time start = absl::FromUnixSeconds(1000);
   change_receiver receiver;
   EXPECT_TRUE(receiver.on_message(3, 4));
@@ -225,7 +225,7 @@
   EXPECT_FALSE(receiver.on_message(6, 4));
   EXPECT_EQ(receiver.position(4), (follower_position{4, 6}));
   EXPECT_TRUE(receiver.request_out_of_turn(4, start));
-  EXPECT_FALSE(receiver.request_out_of_turn(4, start + way_time));
+  EXPECT_FALSE(receiver.request_out_of_turn(4, start + link_delay));
   EXPECT_TRUE(receiver.request_out_of_turn(4, start + absl::Milliseconds(50)));
   // The missing changes have arrived.
   EXPECT_FALSE(receiver.request_out_of_turn(6, start + absl::Seconds(1)));
--- a/test/evacuation-test.cc
+++ b/test/evacuation-test.cc
@@ -89,7 +89,7 @@
   EXPECT_EQ(this->taken_in(near_hall), before);
 }
 
-TEST_F(evacuation_test, repeats_and_resumed_streams_go_to_no_such_hall) {
+TEST_F(evacuation_test, repeats_and_resumed_streams_avoid_evacuated_halls) {
   this->start(1);
   this->evacuate(near_hall);
   ASSERT_TRUE(this->wait_for(near_hall, true));
@@ -106,7 +106,7 @@
   EXPECT_EQ(this->taken_in(near_hall), 0);
 }
 
-TEST_F(evacuation_test, what_runs_there_ends_there) {
+TEST_F(evacuation_test, running_requests_finish_in_an_evacuated_hall) {
   this->start(1);
   auto socket = this->connect();
   auto out = stream_request("r1");
@@ -127,7 +127,8 @@
   EXPECT_EQ(this->runs("r1"), 1);
 }
 
-TEST_F(evacuation_test, a_node_that_the_store_turns_away_hears_of_it) {
+TEST_F(evacuation_test,
+       node_rejected_by_the_store_learns_of_evacuations_from_peers) {
   this->start(3);
   const size_t away = this->follower();
   this->on_loop([&] {
@@ -143,7 +144,7 @@
   EXPECT_TRUE(this->wait_for(near_hall, false));
 }
 
-TEST_F(evacuation_test, a_node_that_starts_during_one_sends_nothing_there) {
+TEST_F(evacuation_test, node_started_during_an_evacuation_sends_nothing_there) {
   this->start(2);
   this->evacuate(near_hall);
   ASSERT_TRUE(this->wait_for(near_hall, true));
@@ -165,7 +166,7 @@
   EXPECT_EQ(this->taken_in(near_hall), before);
 }
 
-TEST_F(evacuation_test, a_node_that_does_not_know_them_is_not_ready) {
+TEST_F(evacuation_test, node_without_evacuation_state_is_not_ready) {
   this->fleet->faults.refused_kinds["node-0"] = {"evacuations"};
   this->add_node("node-0");
   this->run();
@@ -187,7 +188,7 @@
   EXPECT_EQ(this->send_request(request("r2", "/look/a")).result_int(), 200U);
 }
 
-TEST_F(evacuation_test, a_hall_that_is_taken_back_serves_again) {
+TEST_F(evacuation_test, hall_serves_again_after_its_evacuation) {
   this->start(2);
   this->evacuate(near_hall);
   ASSERT_TRUE(this->wait_for(near_hall, true));
@@ -218,7 +219,7 @@
   EXPECT_EQ(this->taken_in(near_hall), 0);
 }
 
-TEST_F(evacuation_test, what_is_known_holds_while_the_store_is_down) {
+TEST_F(evacuation_test, evacuations_hold_while_the_store_is_down) {
   this->start(2);
   this->evacuate(near_hall);
   ASSERT_TRUE(this->wait_for(near_hall, true));
@@ -236,7 +237,7 @@
   EXPECT_TRUE(this->wait_for(near_hall, false));
 }
 
-TEST_F(evacuation_test, a_hall_is_evacuated_whatever_its_object_holds) {
+TEST_F(evacuation_test, evacuation_ignores_object_content) {
   this->start(1);
   this->evacuate("no-such-hall", 7);
   this->evacuate(near_hall, json::array({"nonsense"}));
@@ -246,7 +247,7 @@
   EXPECT_EQ(this->taken_in(near_hall), 0);
 }
 
-TEST_F(evacuation_test, the_holder_forms_no_group_there) {
+TEST_F(evacuation_test, holder_forms_no_group_in_an_evacuated_hall) {
   this->fleet->evacuate(near_hall, json::object());
   this->add_node("node-0");
   this->run();
@@ -264,7 +265,7 @@
   EXPECT_TRUE(this->wait_until([&] { return joined(near_hall); }));
 }
 
-TEST_F(evacuation_test, nothing_is_followed_where_no_bound_is_given) {
+TEST_F(evacuation_test, evacuations_are_not_followed_without_a_deadline) {
   this->evacuate_deadline.reset();
   this->fleet->evacuate(near_hall, json::object());
   this->start(1);
--- a/test/gossip-pacer-test.cc
+++ b/test/gossip-pacer-test.cc
@@ -22,10 +22,10 @@
 constexpr double mean_prompt = 714;
 constexpr absl::Duration mean_run = absl::Milliseconds(1300);
 /// Interval at which a node checks whether a message is due.
-constexpr absl::Duration look_period = absl::Milliseconds(25);
+constexpr absl::Duration check_period = absl::Milliseconds(25);
 constexpr absl::Duration tick = absl::Milliseconds(1);
-constexpr absl::Duration way = absl::Milliseconds(1);
-constexpr absl::Duration played = absl::Seconds(60);
+constexpr absl::Duration link_delay = absl::Milliseconds(1);
+constexpr absl::Duration duration = absl::Seconds(60);
 
 engine_profile engine_of_groups() {
   engine_profile engine;
@@ -53,26 +53,26 @@
 struct message {
   absl::Time at;
   int from = 0;
-  std::vector<endpoint_load> said;
+  std::vector<endpoint_load> loads;
 };
 
 /// Simulates the hall. Returns the mean number of unread prompt tokens that a
 /// request met in its group, with requests reported at once (`at_once`) or by
 /// the period alone.
-double tokens_met(bool at_once, uint64_t seed) {
+double mean_unread_tokens(bool at_once, uint64_t seed) {
   const engine_profile engine = engine_of_groups();
   model_profile model;
   model.pace = 0.6;
   random_stream random{std::mt19937_64(seed)};
   std::vector<load_table> tables(nodes);
-  std::vector<gossip_pacer> paces(nodes);
+  std::vector<gossip_pacer> pacers(nodes);
   std::vector<double> unread(groups, 0);
   std::vector<running_request> running;
   std::deque<message> sent;
-  double met = 0;
+  double unread_met = 0;
   int count = 0;
   const absl::Time began = absl::FromUnixSeconds(1000);
-  for (absl::Time now = began; now < began + played; now += tick) {
+  for (absl::Time now = began; now < began + duration; now += tick) {
     for (double& tokens : unread) {
       const double read = engine.prefill_tokens_per_ms / model.pace;
       tokens = std::max(0.0, tokens - read);
@@ -91,7 +91,7 @@
       for (int n = 0; n < nodes; ++n) {
         if (n == m.from) continue;
         tables[static_cast<size_t>(n)].update_peer(absl::StrCat("n", m.from),
-                                                   m.said, now);
+                                                   m.loads, now);
       }
     }
     if (random.unit() < requests_per_s * absl::ToDoubleSeconds(tick)) {
@@ -107,7 +107,7 @@
       const auto chosen =
           choose_group(engine, model, options, {prompt, 150}, random);
       if (chosen) {
-        met += unread[*chosen];
+        unread_met += unread[*chosen];
         ++count;
         unread[*chosen] += prompt;
         const absl::Time first =
@@ -122,23 +122,23 @@
     for (int n = 0; n < nodes; ++n) {
       // Nodes check at different moments.
       const absl::Duration since = now - began + n * tick;
-      if (since % look_period != absl::ZeroDuration()) continue;
+      if (since % check_period != absl::ZeroDuration()) continue;
       const auto at = static_cast<size_t>(n);
       const uint64_t begun = at_once ? tables[at].begun() : 0;
-      if (!paces[at].due(begun, nodes - 1, now)) continue;
-      paces[at].on_sent(begun, nodes - 1, now);
-      sent.push_back({now + way, n, tables[at].own()});
+      if (!pacers[at].due(begun, nodes - 1, now)) continue;
+      pacers[at].on_sent(begun, nodes - 1, now);
+      sent.push_back({now + link_delay, n, tables[at].own()});
     }
   }
-  return met / count;
+  return unread_met / count;
 }
 
-TEST(gossip_pacer, requests_that_are_told_at_once_do_not_meet_in_one_group) {
+TEST(gossip_pacer, immediate_reports_spread_requests_over_groups) {
   double at_once = 0;
   double by_period = 0;
   for (uint64_t seed = 1; seed <= 3; ++seed) {
-    at_once += tokens_met(true, seed);
-    by_period += tokens_met(false, seed);
+    at_once += mean_unread_tokens(true, seed);
+    by_period += mean_unread_tokens(false, seed);
   }
   RecordProperty("at_once", absl::StrCat(at_once / 3));
   RecordProperty("by_period", absl::StrCat(by_period / 3));
@@ -155,7 +155,7 @@
   EXPECT_TRUE(pace.due(0, peers, now + absl::Milliseconds(182)));
 }
 
-TEST(gossip_pacer, new_requests_of_a_large_hall_are_told_at_a_bounded_rate) {
+TEST(gossip_pacer, new_requests_are_reported_at_a_bounded_rate) {
   constexpr int peers = 300;
   gossip_pacer pace;
   const absl::Time now = absl::FromUnixSeconds(1000);
--- a/test/hall-evacuations-test.cc
+++ b/test/hall-evacuations-test.cc
@@ -14,38 +14,39 @@
 
 absl::Time at_ms(int64_t ms) { return start + absl::Milliseconds(ms); }
 
-evacuation_snapshot word_of(int64_t revision, std::set<std::string> halls,
-                            absl::Duration age = absl::ZeroDuration()) {
+evacuation_snapshot make_state(int64_t revision, std::set<std::string> halls,
+                               absl::Duration age = absl::ZeroDuration()) {
   return {revision, age, std::move(halls)};
 }
 
-TEST(hall_evacuations, nothing_is_known_or_closed_before_the_first_word) {
+TEST(hall_evacuations, unknown_before_the_first_state) {
   const hall_evacuations known;
   EXPECT_FALSE(known.known());
   EXPECT_FALSE(known.closed("a", absl::InfinitePast()));
   EXPECT_EQ(known.age(start), absl::InfiniteDuration());
 }
 
-TEST(hall_evacuations, an_empty_word_is_knowledge) {
+TEST(hall_evacuations, empty_state_counts_as_known) {
   hall_evacuations known;
-  known.apply(word_of(0, {}, absl::Milliseconds(30)), start, start);
+  known.apply(make_state(0, {}, absl::Milliseconds(30)), start, start);
   EXPECT_TRUE(known.known());
   EXPECT_EQ(known.age(start), absl::Milliseconds(30));
 }
 
-TEST(hall_evacuations, says_what_a_word_has_changed) {
+TEST(hall_evacuations, apply_returns_changes) {
   hall_evacuations known;
-  EXPECT_EQ(known.apply(word_of(1, {"a"}), start, start),
+  EXPECT_EQ(known.apply(make_state(1, {"a"}), start, start),
             (evacuation_change{{"a"}, {}}));
-  EXPECT_EQ(known.apply(word_of(2, {"b"}), start, start),
+  EXPECT_EQ(known.apply(make_state(2, {"b"}), start, start),
             (evacuation_change{{"b"}, {"a"}}));
-  EXPECT_EQ(known.apply(word_of(1, {"a"}), start, start), evacuation_change{});
+  EXPECT_EQ(known.apply(make_state(1, {"a"}), start, start),
+            evacuation_change{});
 }
 
-TEST(hall_evacuations, opens_again_with_servers_known_from_after_the_end) {
+TEST(hall_evacuations, reopens_once_servers_are_known_from_after_the_end) {
   hall_evacuations known;
-  known.apply(word_of(1, {"a", "b"}), start, start);
-  known.apply(word_of(2, {"b"}), start, at_ms(100));
+  known.apply(make_state(1, {"a", "b"}), start, start);
+  known.apply(make_state(2, {"b"}), start, at_ms(100));
   EXPECT_TRUE(known.closed("a", at_ms(99)));
   EXPECT_FALSE(known.closed("a", at_ms(100)));
   EXPECT_TRUE(known.closed("b", at_ms(1000)));
@@ -53,32 +54,32 @@
   EXPECT_EQ(known.closed_halls(at_ms(100)), (std::set<std::string>{"b"}));
 }
 
-TEST(hall_evacuations, one_that_is_set_again_stays_closed_whatever_is_known) {
+TEST(hall_evacuations, hall_evacuated_again_stays_closed) {
   hall_evacuations known;
-  known.apply(word_of(1, {"a"}), start, start);
-  known.apply(word_of(2, {}), start, at_ms(100));
-  known.apply(word_of(3, {"a"}), start, at_ms(200));
+  known.apply(make_state(1, {"a"}), start, start);
+  known.apply(make_state(2, {}), start, at_ms(100));
+  known.apply(make_state(3, {"a"}), start, at_ms(200));
   EXPECT_TRUE(known.closed("a", at_ms(5000)));
 }
 
-TEST(hall_evacuations, a_late_word_proves_no_more_than_its_age_says) {
+TEST(hall_evacuations, late_state_counts_with_its_age) {
   hall_evacuations known;
-  known.apply(word_of(1, {}, absl::Seconds(2)), at_ms(0), at_ms(500));
+  known.apply(make_state(1, {}, absl::Seconds(2)), at_ms(0), at_ms(500));
   EXPECT_EQ(known.age(at_ms(500)), absl::Milliseconds(2500));
   // This state was not requested, so that it may have been in transit for any
   // time.
-  known.apply(word_of(2, {"a"}), absl::InfinitePast(), at_ms(600));
+  known.apply(make_state(2, {"a"}), absl::InfinitePast(), at_ms(600));
   EXPECT_TRUE(known.closed("a", at_ms(600)));
   EXPECT_EQ(known.age(at_ms(600)), absl::Milliseconds(2600));
 }
 
 /// Random operator actions, one revision each. Returns the evacuated halls
 /// after each of them.
-std::vector<std::set<std::string>> some_story() {
+std::vector<std::set<std::string>> random_history() {
   std::vector<std::set<std::string>> out = {{}};
-  const auto acts =
+  const auto actions =
       *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 3));
-  for (const int hall : acts) {
+  for (const int hall : actions) {
     std::set<std::string> next = out.back();
     const std::string name = absl::StrCat("h", hall);
     if (next.erase(name) == 0) next.insert(name);
@@ -88,10 +89,10 @@
 }
 
 /// States arrive late, twice and in any order.
-RC_GTEST_PROP(hall_evacuations, never_goes_back, ()) {
-  const auto story = some_story();
-  const auto last = static_cast<int64_t>(story.size()) - 1;
-  const auto heard = *rc::gen::container<std::vector<int64_t>>(
+RC_GTEST_PROP(hall_evacuations, keeps_the_newest_revision, ()) {
+  const auto history = random_history();
+  const auto last = static_cast<int64_t>(history.size()) - 1;
+  const auto received = *rc::gen::container<std::vector<int64_t>>(
       rc::gen::inRange<int64_t>(0, last + 1));
   hall_evacuations known;
   int64_t newest = -1;
@@ -100,13 +101,13 @@
   // By hall, when this node learned of the end of its evacuation, if it is not
   // evacuated again since.
   std::map<std::string, absl::Time> ends;
-  for (const int64_t revision : heard) {
+  for (const int64_t revision : received) {
     now += absl::Milliseconds(10);
     const auto age = absl::Milliseconds(*rc::gen::inRange(0, 500));
-    const auto& halls = story[static_cast<size_t>(revision)];
+    const auto& halls = history[static_cast<size_t>(revision)];
     if (revision > newest) {
       if (newest >= 0) {
-        for (const auto& hall : story[static_cast<size_t>(newest)]) {
+        for (const auto& hall : history[static_cast<size_t>(newest)]) {
           if (halls.count(hall) == 0) ends[hall] = now;
         }
       }
@@ -115,9 +116,9 @@
     newest = std::max(newest, revision);
     latest_proof = std::max(latest_proof, now - age);
     known.apply({revision, age, halls}, now, now);
-    const auto& truth = story[static_cast<size_t>(newest)];
+    const auto& expected = history[static_cast<size_t>(newest)];
     RC_ASSERT(known.snapshot(now) ==
-              (evacuation_snapshot{newest, now - latest_proof, truth}));
+              (evacuation_snapshot{newest, now - latest_proof, expected}));
     const absl::Time servers_verified_at =
         now - absl::Milliseconds(*rc::gen::inRange(0, 60));
     for (int i = 0; i < 3; ++i) {
@@ -126,7 +127,7 @@
       const bool reopening =
           end != ends.end() && servers_verified_at < end->second;
       RC_ASSERT(known.closed(hall, servers_verified_at) ==
-                (truth.count(hall) != 0 || reopening));
+                (expected.count(hall) != 0 || reopening));
       RC_ASSERT(known.closed(hall, servers_verified_at) ==
                 (known.closed_halls(servers_verified_at).count(hall) != 0));
     }
--- a/test/lease-takeover-test.cc
+++ b/test/lease-takeover-test.cc
@@ -22,7 +22,7 @@
   EXPECT_EQ(lease_rank({}, "n0"), std::nullopt);
 }
 
-TEST(lease_turn, candidates_go_one_after_the_other_and_before_all_others) {
+TEST(lease_turn, delays_grow_with_rank_and_are_longest_without_one) {
   for (int rank = 1; rank < 12; ++rank) {
     EXPECT_GT(takeover_delay(rank, 0), takeover_delay(rank - 1, 1));
     EXPECT_GT(first_read_delay(rank, 0), first_read_delay(rank - 1, 1));
@@ -33,12 +33,13 @@
 
 /// A holder's report reaches all nodes within three relay hops of 180 ms.
 TEST(lease_turn, few_of_a_large_fleet_read_the_lease_when_all_start_at_once) {
-  const absl::Duration told = absl::Milliseconds(540);
+  const absl::Duration informed_after = absl::Milliseconds(540);
   const auto order = candidates(295);
   int reads = 0;
   for (const auto& name : order) {
     const auto rank = lease_rank(order, name);
-    reads += first_read_delay(rank, 0.5) < first_read_delay(0, 0) + told;
+    reads +=
+        first_read_delay(rank, 0.5) < first_read_delay(0, 0) + informed_after;
   }
   EXPECT_LE(reads, 5);
 }
--- a/test/lease-test.cc
+++ b/test/lease-test.cc
@@ -21,7 +21,7 @@
   return {call_status::ok, {call.key, version, call.body, false}};
 }
 
-TEST(lease, an_absent_one_is_taken_at_once) {
+TEST(lease, absent_lease_is_taken_at_once) {
   lease own("hall", "a", timing);
   EXPECT_FALSE(own.due(start, "w"));
   own.observe_absent(start);
@@ -33,7 +33,7 @@
   EXPECT_EQ(own.fence(), 1);
 }
 
-TEST(lease, another_holders_is_waited_out_and_numbered_higher) {
+TEST(lease, foreign_lease_is_taken_after_expiry_with_a_higher_fence) {
   lease own("hall", "a", timing);
   own.observe(lease_object("b", 4, 7), start, 0);
   EXPECT_FALSE(own.due(start + timing.duration - absl::Milliseconds(1), "w"));
@@ -44,7 +44,7 @@
   EXPECT_EQ(own.fence(), 5);
 }
 
-TEST(lease, time_counts_from_before_the_first_sending) {
+TEST(lease, duration_counts_from_the_first_send) {
   lease own("hall", "a", timing);
   own.observe_absent(start);
   auto call = own.due(start, "w");
@@ -57,7 +57,7 @@
   EXPECT_FALSE(own.held(end));
 }
 
-TEST(lease, a_write_lost_to_another_ends_it) {
+TEST(lease, lost_write_ends_the_lease) {
   lease own("hall", "a", timing);
   own.observe_absent(start);
   own.on_answer(took(*own.due(start, "w"), 1), start, 0);
@@ -70,7 +70,7 @@
   EXPECT_EQ(own.last_seen().holder, "b");
 }
 
-TEST(lease, an_answer_that_comes_after_a_takeover_gives_nothing) {
+TEST(lease, answer_after_a_takeover_is_ignored) {
   lease own("hall", "a", timing);
   own.observe_absent(start);
   const auto call = own.due(start, "w");
@@ -99,7 +99,7 @@
   }
 }
 
-TEST(lease, one_that_is_given_up_need_not_run_out) {
+TEST(lease, released_lease_is_taken_at_once) {
   lease own("hall", "a", timing);
   own.observe_absent(start);
   own.on_answer(took(*own.due(start, "w"), 1), start, 0);
@@ -120,7 +120,7 @@
   EXPECT_EQ(other.fence(), own.fence() + 1);
 }
 
-TEST(lease, a_renewal_on_its_way_is_not_taken_for_the_release) {
+TEST(lease, pending_renewal_is_not_mistaken_for_the_release) {
   lease own("hall", "a", timing);
   own.observe_absent(start);
   own.on_answer(took(*own.due(start, "w"), 1), start, 0);
@@ -139,7 +139,7 @@
 
 /// Content by another writer that cannot be parsed must not end the process, or
 /// leave the lease without a holder for good.
-TEST(lease, one_that_cannot_be_read_is_waited_out_and_numbered_higher) {
+TEST(lease, unreadable_lease_is_taken_after_expiry_with_a_higher_fence) {
   for (const std::string body :
        {"[]", "no object", R"({"holder":7})", R"({"fence":"x"})",
         R"({"holder":"b","fence":9,"renewals":1.5})"}) {
@@ -155,7 +155,7 @@
   }
 }
 
-TEST(lease, one_that_another_took_is_not_released) {
+TEST(lease, lease_taken_by_another_is_not_released) {
   lease own("hall", "a", timing);
   own.observe_absent(start);
   own.on_answer(took(*own.due(start, "w"), 1), start, 0);
--- a/test/membership-test.cc
+++ b/test/membership-test.cc
@@ -6,14 +6,14 @@
 namespace {
 
 const absl::Time start = absl::UnixEpoch() + absl::Hours(1);
-const absl::Duration ahead = absl::Hours(5);  // the peer's clock
+const absl::Duration clock_skew = absl::Hours(5);  // the peer's clock
 
 heartbeat heartbeat_at(int64_t sequence, absl::Time sent, uint64_t boot = 1) {
   heartbeat b;
   b.from = {"b", "hall", "peer-b", "http-b"};
   b.boot = boot;
   b.sequence = sequence;
-  b.sent = sent + ahead;
+  b.sent = sent + clock_skew;
   return b;
 }
 
@@ -21,11 +21,11 @@
   heartbeat_ack ack;
   ack.from = {"b", "hall", "peer-b", "http-b"};
   ack.boot = 1;
-  ack.taken = taken + ahead;
+  ack.taken = taken + clock_skew;
   return ack;
 }
 
-TEST(membership, a_beat_that_waited_in_a_queue_is_as_old_as_it_is) {
+TEST(membership, delayed_heartbeat_counts_from_its_send_time) {
   membership m({"a", "hall", "peer-a", "http-a"}, absl::Seconds(2));
   m.on_ack(ack_at(start + absl::Milliseconds(1)), start);
   EXPECT_TRUE(m.alive(*m.find("b"), start + absl::Seconds(1)));
@@ -34,13 +34,13 @@
   EXPECT_FALSE(m.alive(*m.find("b"), start + absl::Seconds(20)));
 }
 
-TEST(membership, a_beat_on_an_unknown_clock_proves_nothing) {
+TEST(membership, heartbeat_without_clock_offset_proves_nothing) {
   membership m({"a", "hall", "peer-a", "http-a"}, absl::Seconds(2));
   m.on_heartbeat(heartbeat_at(1, start));
   EXPECT_FALSE(m.alive(*m.find("b"), start));
 }
 
-TEST(membership, a_slow_answer_only_makes_the_peer_look_older) {
+TEST(membership, slow_answer_makes_the_peer_look_older) {
   membership m({"a", "hall", "peer-a", "http-a"}, absl::Seconds(2));
   // The peer was paused for 5 s between our sending and its answer.
   m.on_ack(ack_at(start + absl::Seconds(5)), start);
@@ -51,7 +51,7 @@
   EXPECT_TRUE(m.alive(*m.find("b"), start + absl::Seconds(7)));
 }
 
-TEST(membership, reordered_and_repeated_beats_are_passed_over) {
+TEST(membership, reordered_and_repeated_heartbeats_are_ignored) {
   membership m({"a", "hall", "peer-a", "http-a"}, absl::Seconds(2));
   EXPECT_TRUE(m.on_heartbeat(heartbeat_at(2, start)));
   EXPECT_FALSE(m.on_heartbeat(heartbeat_at(1, start)));
@@ -59,7 +59,7 @@
   EXPECT_TRUE(m.on_heartbeat(heartbeat_at(1, start, 2)));  // it started anew
 }
 
-TEST(membership, beats_go_to_the_hall_and_one_node_of_each_other) {
+TEST(membership, heartbeats_go_to_the_hall_and_one_node_of_each_other) {
   membership m({"a", "hall", "peer-a", "http-a"}, absl::Seconds(2));
   m.add_address("hall", "peer-b");
   m.add_address("hall", "peer-c");
--- a/test/presence-test.cc
+++ b/test/presence-test.cc
@@ -27,7 +27,7 @@
   EXPECT_TRUE(table.present("h", at_ms(2500), window));
 }
 
-TEST(presence, ends_with_any_probers_word_that_the_host_is_lost) {
+TEST(presence, ends_when_any_prober_finds_the_host_unreachable) {
   presence_table table;
   table.observe("p", "h", seen(start));
   table.observe("q", "h", seen(at_ms(100), false));
@@ -45,14 +45,14 @@
   EXPECT_TRUE(table.present("h", at_ms(600), window));
 }
 
-TEST(presence, an_older_word_changes_nothing) {
+TEST(presence, older_observation_is_ignored) {
   presence_table table;
   EXPECT_TRUE(table.observe("p", "h", seen(at_ms(100), false)));
   EXPECT_FALSE(table.observe("p", "h", seen(start)));
   EXPECT_FALSE(table.present("h", at_ms(100), window));
 }
 
-TEST(presence, a_failed_attempt_closes_until_a_later_probe) {
+TEST(presence, failed_attempt_counts_until_a_later_probe) {
   presence_table table;
   table.observe("p", "h", seen(start));
   table.note_failure("h", at_ms(10));
@@ -61,7 +61,7 @@
   EXPECT_TRUE(table.present("h", at_ms(40), window));
 }
 
-TEST(presence, a_withdrawn_word_no_longer_counts) {
+TEST(presence, removed_observation_no_longer_counts) {
   presence_table table;
   table.observe("p", "h", seen(start));
   table.remove_observation("p", "h");
--- a/test/reducer-test.cc
+++ b/test/reducer-test.cc
@@ -41,7 +41,7 @@
   }
   bool open(const group& g) { return group_open(this->state, g, start); }
   /// Records a later observation of host b.
-  void say(observation o) {
+  void send_observation(observation o) {
     o.at = start + absl::Milliseconds(1);
     this->state.presence.observe("p", "b", o);
   }
@@ -55,7 +55,7 @@
   EXPECT_FALSE(this->open(wider));
 }
 
-TEST_F(group_opening, needs_the_placements_word) {
+TEST_F(group_opening, needs_the_serving_phase) {
   group g = two_hosts();
   g.phase = group_phase::draining;
   EXPECT_FALSE(this->open(g));
@@ -64,19 +64,19 @@
 }
 
 TEST_F(group_opening, needs_the_incarnation) {
-  this->say(ready_in("g", 2));
+  this->send_observation(ready_in("g", 2));
   EXPECT_FALSE(this->open(two_hosts()));
 }
 
 TEST_F(group_opening, needs_the_group) {
-  this->say(ready_in("other", 3));
+  this->send_observation(ready_in("other", 3));
   EXPECT_FALSE(this->open(two_hosts()));
 }
 
 TEST_F(group_opening, needs_loaded_weights) {
   auto o = ready_in("g", 3);
   o.report.phase = host_phase::loading;
-  this->say(o);
+  this->send_observation(o);
   EXPECT_FALSE(this->open(two_hosts()));
 }
 
@@ -87,19 +87,19 @@
 }
 
 /// A node that receives observations of one host from one prober.
-class prober_words : public ::testing::Test {
+class prober_observations : public ::testing::Test {
  protected:
   void SetUp() override {
     node_options options;
     options.self = {"a", "hall", "peer-a", "http-a"};
     this->state = make_node(options, start);
-    this->give(object_event{{{kinds::host, "h"},
-                             1,
-                             R"({"hall":"hall","address":"1.1.1.1:1"})",
-                             false}});
+    this->deliver(object_event{{{kinds::host, "h"},
+                                1,
+                                R"({"hall":"hall","address":"1.1.1.1:1"})",
+                                false}});
   }
 
-  void give(event_body body) {
+  void deliver(event_body body) {
     this->now += absl::Milliseconds(10);
     this->state = reduce(std::move(this->state), {this->now, body}).state;
   }
@@ -111,11 +111,11 @@
     ack.from = {"b", "hall", "peer-b", "http-b"};
     ack.boot = boot;
     ack.taken = this->now;
-    this->give(heartbeat_ack_event{ack, this->now});
+    this->deliver(heartbeat_ack_event{ack, this->now});
   }
 
-  void say(uint64_t boot, int64_t sequence, int64_t epoch, bool with_words,
-           bool reachable) {
+  void send_observation(uint64_t boot, int64_t sequence, int64_t epoch,
+                        bool with_observations, bool reachable) {
     heartbeat b;
     b.from = {"b", "hall", "peer-b", "http-b"};
     b.boot = boot;
@@ -123,9 +123,10 @@
     b.sent = this->now;
     b.probed_at = this->now;
     b.observations_epoch = epoch;
-    b.has_observations = with_words;
-    if (with_words) b.observations.push_back({"h", reachable, this->now, {}});
-    this->give(heartbeat_event{0, b});
+    b.has_observations = with_observations;
+    if (with_observations)
+      b.observations.push_back({"h", reachable, this->now, {}});
+    this->deliver(heartbeat_event{0, b});
   }
 
   bool present() {
@@ -138,54 +139,54 @@
   absl::Time now = start;
 };
 
-TEST_F(prober_words, count_while_they_are_refreshed) {
+TEST_F(prober_observations, count_while_refreshed) {
   this->acknowledge(1);
-  this->say(1, 1, 7, true, true);
+  this->send_observation(1, 1, 7, true, true);
   EXPECT_TRUE(this->present());
   this->now += 0.7 * this->state.options.presence_window;
-  this->say(1, 2, 7, false, true);
+  this->send_observation(1, 2, 7, false, true);
   this->now += 0.7 * this->state.options.presence_window;
   EXPECT_TRUE(this->present());
 }
 
-TEST_F(prober_words, that_were_missed_are_not_refreshed) {
+TEST_F(prober_observations, missed_ones_are_not_refreshed) {
   this->acknowledge(1);
-  this->say(1, 1, 7, true, true);
+  this->send_observation(1, 1, 7, true, true);
   this->now += this->state.options.presence_window;
-  this->say(1, 2, 8, false, true);
+  this->send_observation(1, 2, 8, false, true);
   EXPECT_FALSE(this->present());
 }
 
-TEST_F(prober_words, of_an_earlier_start_end_with_it) {
+TEST_F(prober_observations, end_with_the_start_of_their_prober) {
   this->acknowledge(1);
-  this->say(1, 1, 7, true, true);
+  this->send_observation(1, 1, 7, true, true);
   // The prober restarts and finds the host unreachable; its clock is unknown
   // yet.
-  this->say(2, 1, 3, true, false);
+  this->send_observation(2, 1, 3, true, false);
   EXPECT_FALSE(this->present());
   this->acknowledge(2);
-  this->say(2, 2, 3, false, false);
+  this->send_observation(2, 2, 3, false, false);
   EXPECT_FALSE(this->present());
 }
 
-TEST(reducer, a_head_with_a_lower_revision_is_not_taken) {
+TEST(reducer, head_with_a_lower_revision_is_ignored) {
   node_options options;
   options.self = {"a", "hall", "peer-a", "http-a"};
   node_state state = make_node(options, start);
-  const auto give = [&](const object& o) {
+  const auto deliver = [&](const object& o) {
     state = reduce(std::move(state), {start, object_event{o}}).state;
   };
   const std::string content = nlohmann::json(configuration{}).dump();
   const std::string digest = hex_digest(content);
-  give({{kinds::bundle, digest}, 1, R"({"bundle":)" + content + "}", false});
+  deliver({{kinds::bundle, digest}, 1, R"({"bundle":)" + content + "}", false});
   const auto head = [&](int64_t version, int64_t revision) {
     const config_head h{revision, digest, "", ""};
     return object{
         {kinds::config, "head"}, version, nlohmann::json(h).dump(), false};
   };
-  give(head(2, 5));
+  deliver(head(2, 5));
   EXPECT_EQ(state.revision, 5);
-  give(head(3, 4));
+  deliver(head(3, 4));
   EXPECT_EQ(state.revision, 5);
 }
 
@@ -203,7 +204,7 @@
 
 /// All invariants hold throughout any mix of failures, and the hall serves
 /// again once they have ended.
-RC_GTEST_PROP(reducer_property, holds_under_any_failures, ()) {
+RC_GTEST_PROP(reducer_property, invariants_hold_under_any_failures, ()) {
   test::fake_options options;
   options.seed = *rc::gen::arbitrary<uint64_t>();
   options.load_time = absl::Seconds(2);
--- a/test/relay-choice-test.cc
+++ b/test/relay-choice-test.cc
@@ -30,13 +30,13 @@
   return view;
 }
 
-TEST(relay_choice, one_node_of_a_hall_watches_and_the_others_ask_it) {
+TEST(relay_choice, one_node_of_a_hall_watches_and_relays_to_the_others) {
   for (const auto& name : hall) {
     EXPECT_EQ(choose_relay(view_of(name)).upstream, order()[0]);
   }
 }
 
-TEST(relay_choice, the_halls_first_node_asks_the_holder_elsewhere) {
+TEST(relay_choice, first_node_uses_a_holder_in_another_hall) {
   for (const auto& name : hall) {
     relay_view view = view_of(name);
     view.holder = "b1";
@@ -45,7 +45,7 @@
   }
 }
 
-TEST(relay_choice, all_ask_a_holder_of_their_own_hall) {
+TEST(relay_choice, all_use_a_holder_in_their_hall) {
   for (const auto& name : hall) {
     relay_view view = view_of(name);
     view.holder = order()[4];
@@ -54,7 +54,7 @@
   }
 }
 
-TEST(relay_choice, relays_that_failed_are_passed_over_in_order) {
+TEST(relay_choice, failed_relays_are_skipped_in_order) {
   relay_view view = view_of(order()[5]);
   view.excluded = {order()[0]};
   EXPECT_EQ(choose_relay(view).upstream, order()[1]);
@@ -69,7 +69,7 @@
   EXPECT_EQ(choose_relay(view).upstream, "b1");
 }
 
-TEST(relay_choice, only_the_first_of_a_hall_are_relied_on) {
+TEST(relay_choice, only_the_first_nodes_of_a_hall_are_candidates) {
   size_t candidates = 0;
   for (const auto& name : hall) {
     candidates += choose_relay(view_of(name)).top_ranked ? 1 : 0;
@@ -77,21 +77,21 @@
   EXPECT_EQ(candidates, top_ranked_per_hall);
 }
 
-TEST(relay_choice, nodes_that_agree_never_ask_in_a_circle) {
+TEST(relay_choice, equal_views_never_form_a_cycle) {
   // Each node may have excluded any two others.
   for (const auto& x : hall) {
     for (const auto& y : hall) {
-      std::map<std::string, std::string> asks;
+      std::map<std::string, std::string> upstreams;
       for (const auto& name : hall) {
         relay_view view = view_of(name);
         view.excluded = {x, y};
-        asks[name] = choose_relay(view).upstream;
+        upstreams[name] = choose_relay(view).upstream;
       }
       for (const auto& name : hall) {
         std::string at = name;
         size_t hops = 0;
-        while (asks[at] != at && hops <= hall.size()) {
-          at = asks[at];
+        while (upstreams[at] != at && hops <= hall.size()) {
+          at = upstreams[at];
           ++hops;
         }
         EXPECT_LE(hops, hall.size()) << name;
@@ -112,7 +112,7 @@
 }
 
 /// The relay of each node when all have excluded the same nodes.
-std::map<std::string, std::string> asked_by_all(
+std::map<std::string, std::string> upstreams_of_all(
     const std::vector<relay_candidate>& nodes, const std::string& holder,
     const std::set<std::string>& excluded) {
   std::map<std::string, std::string> out;
@@ -131,11 +131,11 @@
 
 /// In a large hall, a node that all others used as their relay would be slow
 /// for all.
-TEST(relay_choice, no_relay_of_a_large_hall_answers_more_than_its_children) {
+TEST(relay_choice, no_relay_of_a_large_hall_exceeds_its_fan_out) {
   for (const int size : {3, 12, 60, 200}) {
     const auto nodes = hall_of(size);
     std::map<std::string, size_t> children;
-    for (const auto& [name, upstream] : asked_by_all(nodes, "holder", {})) {
+    for (const auto& [name, upstream] : upstreams_of_all(nodes, "holder", {})) {
       children[upstream]++;
     }
     for (const auto& node : nodes) {
@@ -145,23 +145,23 @@
   }
 }
 
-TEST(relay_choice, a_node_has_children_by_its_size) {
+TEST(relay_choice, fan_out_follows_the_share_of_a_core) {
   EXPECT_EQ(relay_fan_out(0.5F), 24U);
   EXPECT_EQ(relay_fan_out(0.125F), 6U);
   EXPECT_EQ(relay_fan_out(0.01F), 4U);
   EXPECT_EQ(relay_fan_out(16), 32U);
 }
 
-TEST(relay_choice, news_reach_sixty_nodes_in_three_steps) {
-  const auto asks = asked_by_all(hall_of(60), "holder", {});
-  for (const auto& [name, upstream] : asks) {
+TEST(relay_choice, updates_reach_sixty_nodes_in_three_steps) {
+  const auto upstreams = upstreams_of_all(hall_of(60), "holder", {});
+  for (const auto& [name, upstream] : upstreams) {
     int steps = 0;
-    for (std::string at = name; at != "holder"; at = asks.at(at)) ++steps;
+    for (std::string at = name; at != "holder"; at = upstreams.at(at)) ++steps;
     EXPECT_LE(steps, 3) << name;
   }
 }
 
-TEST(relay_choice, nodes_with_more_of_a_core_pass_news_on) {
+TEST(relay_choice, nodes_with_more_of_a_core_rank_first) {
   const auto nodes = hall_of(60);
   std::map<std::string, float> cores;
   for (const auto& node : nodes) cores[node.name] = node.cores;
@@ -170,8 +170,7 @@
     EXPECT_EQ(cores[first[i]], 0.5F);
 }
 
-RC_GTEST_PROP(relay_choice, one_node_of_a_hall_watches_whatever_has_failed,
-              ()) {
+RC_GTEST_PROP(relay_choice, at_most_one_node_watches_after_any_failures, ()) {
   const int size = *rc::gen::element(2, 9, 60, 120);
   const auto nodes = hall_of(size);
   std::set<std::string> failed;
@@ -180,7 +179,7 @@
     failed.insert(nodes[*rc::gen::inRange<size_t>(0, nodes.size())].name);
   }
   int watching = 0;
-  for (const auto& [name, upstream] : asked_by_all(nodes, "", failed)) {
+  for (const auto& [name, upstream] : upstreams_of_all(nodes, "", failed)) {
     // A node that the others have excluded has a relay or watches by itself.
     if (upstream == name && failed.count(name) == 0) ++watching;
     RC_ASSERT(upstream == name || failed.count(upstream) == 0);
--- a/test/relay-fleet.h
+++ b/test/relay-fleet.h
@@ -31,9 +31,9 @@
     int to = 0;
     /// Whether this is a request; otherwise it carries changes, in answer to a
     /// request or without one.
-    bool question = false;
-    bool asked = false;
-    follower_position what;
+    bool is_request = false;
+    bool in_response = false;
+    follower_position position;
     server_change_batch part;
   };
 
@@ -42,14 +42,15 @@
   static constexpr absl::Duration lost = absl::InfiniteDuration();
 
   /// `parents` lists the relay of each node but the first.
-  relay_fleet(std::vector<int> parents, link way)
-      : nodes(parents.size() + 1), way(std::move(way)) {
+  relay_fleet(std::vector<int> parents, link delay_of)
+      : nodes(parents.size() + 1), delay_of(std::move(delay_of)) {
     for (size_t i = 0; i < parents.size(); ++i) {
       node& n = this->nodes[i + 1];
       n.parent = parents[i];
       // Nodes that start together still send requests at different times.
       const auto offset = request_period * static_cast<double>(i % 7) / 7;
-      this->at(this->now + offset, [this, i] { this->ask_again(i + 1); });
+      this->schedule(this->now + offset,
+                     [this, i] { this->request_periodically(i + 1); });
     }
   }
 
@@ -63,7 +64,7 @@
     node& first = this->nodes.front();
     first.directory.update(server);
     first.directory.advance_revision(revision);
-    this->made.push_back(this->now);
+    this->change_times.push_back(this->now);
     this->push(0);
   }
 
@@ -76,7 +77,7 @@
   }
 
   /// Makes a node other than the first use another relay from now on.
-  void move(int i, int parent) {
+  void set_relay(int i, int parent) {
     this->nodes[static_cast<size_t>(i)].parent = parent;
   }
 
@@ -85,9 +86,9 @@
     while (!this->events.empty() && this->events.begin()->first <= until) {
       const auto first = this->events.begin();
       this->now = first->first;
-      const auto work = std::move(first->second);
+      const auto action = std::move(first->second);
       this->events.erase(first);
-      work();
+      action();
     }
     this->now = until;
   }
@@ -103,7 +104,7 @@
 
   /// The quantile `part`, from 0 to 1, of the delays with which nodes learned
   /// of changes.
-  absl::Duration lag_at(double part) const {
+  absl::Duration lag_quantile(double part) const {
     std::vector<absl::Duration> all = this->lags;
     const auto rank = static_cast<size_t>(
         part * static_cast<double>(std::max<size_t>(all.size(), 1) - 1));
@@ -119,8 +120,8 @@
     for (const node& n : this->nodes) {
       longest = std::max(longest, n.longest_lag);
       const auto known = static_cast<size_t>(n.directory.revision());
-      if (known < this->made.size()) {
-        longest = std::max(longest, this->now - this->made[known]);
+      if (known < this->change_times.size()) {
+        longest = std::max(longest, this->now - this->change_times[known]);
       }
     }
     return longest;
@@ -152,57 +153,61 @@
     absl::Duration longest_lag = absl::ZeroDuration();
   };
 
-  void at(absl::Time when, std::function<void()> work) {
-    this->events.emplace(when, std::move(work));
+  void schedule(absl::Time when, std::function<void()> action) {
+    this->events.emplace(when, std::move(action));
   }
 
   void send(message m) {
     ++this->sent_messages;
     this->sent_changes += m.part.servers.size();
-    const absl::Duration takes = this->way(m);
+    const absl::Duration takes = this->delay_of(m);
     if (takes == lost) return;
-    this->at(this->now + takes, [this, m = std::move(m)] { this->take(m); });
+    this->schedule(this->now + takes,
+                   [this, m = std::move(m)] { this->receive(m); });
   }
 
-  void ask_again(size_t i) {
-    this->ask(static_cast<int>(i));
-    this->at(this->now + request_period, [this, i] { this->ask_again(i); });
+  void request_periodically(size_t i) {
+    this->send_request(static_cast<int>(i));
+    this->schedule(this->now + request_period,
+                   [this, i] { this->request_periodically(i); });
   }
 
-  void ask(int i) {
+  void send_request(int i) {
     const node& n = this->nodes[static_cast<size_t>(i)];
     message m;
     m.from = i;
     m.to = n.parent;
-    m.question = true;
-    m.what = n.receiver.question(n.directory.revision());
+    m.is_request = true;
+    m.position = n.receiver.position(n.directory.revision());
     this->send(std::move(m));
   }
 
-  void take(const message& m) {
+  void receive(const message& m) {
     node& n = this->nodes[static_cast<size_t>(m.to)];
-    if (m.question) {
+    if (m.is_request) {
       const int64_t from =
-          n.sender.on_request(absl::StrCat(m.from), m.what, this->now);
-      this->tell(m.to, m.from, from, true);
+          n.sender.on_request(absl::StrCat(m.from), m.position, this->now);
+      this->send_changes(m.to, m.from, from, true);
       return;
     }
-    this->take_changes(n, m);
+    this->apply_changes(n, m);
   }
 
-  void take_changes(node& n, const message& m) {
+  void apply_changes(node& n, const message& m) {
     const int64_t known = n.directory.revision();
     if (!n.receiver.on_message(m.part.from_revision, known)) {
-      if (n.receiver.request_out_of_turn(known, this->now)) this->ask(m.to);
+      if (n.receiver.request_out_of_turn(known, this->now))
+        this->send_request(m.to);
       return;
     }
     const bool changed =
         apply_server_changes(n.directory, m.part.servers, this->now);
     n.directory.advance_revision(m.part.to_revision);
     for (int64_t r = known + 1; r <= n.directory.revision(); ++r) {
-      const absl::Time made_at = this->made[static_cast<size_t>(r - 1)];
-      n.longest_lag = std::max(n.longest_lag, this->now - made_at);
-      this->lags.push_back(this->now - made_at);
+      const absl::Time changed_at =
+          this->change_times[static_cast<size_t>(r - 1)];
+      n.longest_lag = std::max(n.longest_lag, this->now - changed_at);
+      this->lags.push_back(this->now - changed_at);
     }
     if (changed) this->push(m.to);
   }
@@ -211,11 +216,11 @@
     node& n = this->nodes[static_cast<size_t>(i)];
     const change_sender::known_revisions known = {n.directory.revision(), 0};
     for (const auto& next : n.sender.pending_updates(known, this->now)) {
-      this->tell(i, std::stoi(next.follower), next.from, false);
+      this->send_changes(i, std::stoi(next.follower), next.from, false);
     }
   }
 
-  void tell(int i, int to, int64_t from, bool asked) {
+  void send_changes(int i, int to, int64_t from, bool in_response) {
     node& n = this->nodes[static_cast<size_t>(i)];
     const int64_t until = n.directory.revision();
     auto changes = server_changes_since(n.directory, from, this->now);
@@ -223,18 +228,18 @@
              std::move(changes), max_changes_per_message, from, until)) {
       n.sender.on_sent(absl::StrCat(to), part.from_revision, part.to_revision,
                        0, this->now);
-      this->send({i, to, false, asked, {}, std::move(part)});
+      this->send({i, to, false, in_response, {}, std::move(part)});
     }
   }
 
   std::vector<node> nodes;
-  link way;
+  link delay_of;
   absl::Time now = absl::FromUnixSeconds(1000);
   std::multimap<absl::Time, std::function<void()>> events;
   int64_t last_revision = 0;
   /// When each change was made; revisions count from 1, so that this is indexed
   /// by revision minus one.
-  std::vector<absl::Time> made;
+  std::vector<absl::Time> change_times;
   /// The delay with which each node learned of each change.
   std::vector<absl::Duration> lags;
   size_t sent_changes = 0;
--- a/test/server-directory-test.cc
+++ b/test/server-directory-test.cc
@@ -22,37 +22,37 @@
   return out;
 }
 
-TEST(server_change, says_how_much_longer_a_server_is_cold) {
+TEST(server_change, carries_the_remaining_cold_time) {
   server_directory from;
   listed_server cold;
   cold.entry.id = "s";
   cold.revision = 3;
   cold.cold_until = absl::UnixEpoch() + absl::Milliseconds(2750);
   from.update(cold);
-  const absl::Time told = absl::UnixEpoch() + absl::Milliseconds(750);
-  const auto news = server_changes_since(from, 0, told);
+  const absl::Time reported = absl::UnixEpoch() + absl::Milliseconds(750);
+  const auto news = server_changes_since(from, 0, reported);
   // The clocks of two nodes are unrelated.
-  const absl::Time heard = absl::UnixEpoch() + absl::Hours(9);
+  const absl::Time received_at = absl::UnixEpoch() + absl::Hours(9);
   server_directory to;
-  apply_server_changes(to, news, heard);
-  EXPECT_EQ(to.servers().at("s").cold_until, heard + absl::Seconds(2));
-  EXPECT_EQ(to.all_warm_at(), heard + absl::Seconds(2));
+  apply_server_changes(to, news, received_at);
+  EXPECT_EQ(to.servers().at("s").cold_until, received_at + absl::Seconds(2));
+  EXPECT_EQ(to.all_warm_at(), received_at + absl::Seconds(2));
 }
 
-TEST(server_change, says_nothing_of_servers_that_are_warm_again) {
+TEST(server_change, omits_elapsed_cold_time) {
   server_directory from;
   listed_server warm;
   warm.entry.id = "s";
   warm.revision = 3;
   warm.cold_until = absl::UnixEpoch() + absl::Seconds(1);
   from.update(warm);
-  const absl::Time told = absl::UnixEpoch() + absl::Seconds(1);
+  const absl::Time reported = absl::UnixEpoch() + absl::Seconds(1);
   server_directory to;
-  apply_server_changes(to, server_changes_since(from, 0, told), told);
+  apply_server_changes(to, server_changes_since(from, 0, reported), reported);
   EXPECT_EQ(to.servers().at("s").cold_until, absl::InfinitePast());
 }
 
-TEST(server_directory, never_goes_back) {
+TEST(server_directory, keeps_the_newest_revision) {
   server_directory d;
   EXPECT_TRUE(d.update(server("s1", 5, 0, member_phase::open)));
   EXPECT_FALSE(d.update(server("s1", 4)));
@@ -62,7 +62,7 @@
   EXPECT_EQ(d.find("s1"), nullptr);
 }
 
-TEST(server_directory, a_list_takes_out_what_it_lacks) {
+TEST(server_directory, list_removes_missing_servers) {
   server_directory d;
   d.update(server("s1", 1));
   d.update(server("s2", 2));
@@ -72,7 +72,7 @@
   EXPECT_EQ(d.revision(), 9);
 }
 
-TEST(server_directory, a_list_older_than_an_entry_leaves_it) {
+TEST(server_directory, older_list_keeps_newer_entries) {
   server_directory d;
   d.update(server("s1", 12));
   d.replace({}, 9, absl::InfinitePast());
@@ -89,7 +89,7 @@
   EXPECT_EQ(d.find("s1"), nullptr);
 }
 
-TEST(server_directory, drops_no_entry_on_old_knowledge) {
+TEST(server_directory, stale_directory_expires_no_entry) {
   server_directory d;
   d.update(server("s1", 5));
   d.remove("s1", 6, start + absl::Seconds(2));
@@ -100,7 +100,7 @@
   EXPECT_EQ(d.find("s1"), nullptr);
 }
 
-TEST(server_directory, a_server_that_is_back_does_not_lapse) {
+TEST(server_directory, returned_server_does_not_expire) {
   server_directory d;
   d.update(server("s1", 1));
   d.replace({}, 9, start + absl::Seconds(2));
@@ -116,7 +116,7 @@
   return groups.empty() ? group_view{} : groups.front();
 }
 
-TEST(collect_groups, a_group_serves_once_all_say_ready_and_its_head_open) {
+TEST(collect_groups, group_serves_once_members_are_ready_and_head_is_open) {
   EXPECT_TRUE(group_of({server("a", 1, 0, member_phase::open),
                         server("b", 1, 1, member_phase::ready)})
                   .serving());
@@ -132,14 +132,14 @@
                    .serving());
 }
 
-TEST(collect_groups, a_rank_that_two_claim_makes_no_group) {
+TEST(collect_groups, rank_claimed_twice_makes_no_group) {
   EXPECT_FALSE(group_of({server("a", 1, 0, member_phase::open),
                          server("b", 1, 1, member_phase::ready),
                          server("c", 1, 1, member_phase::ready)})
                    .serving());
 }
 
-TEST(collect_groups, a_leaving_head_takes_the_group_out) {
+TEST(collect_groups, leaving_head_ends_serving) {
   auto leaving = server("a", 1, 0, member_phase::open);
   leaving.entry.draining = true;
   EXPECT_FALSE(
@@ -148,8 +148,7 @@
 
 /// A member stays for as long as its head has work, so that its group serves
 /// until the controller ends it.
-TEST(collect_groups,
-     a_leaving_member_behind_the_head_leaves_the_group_serving) {
+TEST(collect_groups, leaving_member_keeps_the_group_serving) {
   auto leaving = server("b", 1, 1, member_phase::ready);
   leaving.entry.draining = true;
   EXPECT_TRUE(
@@ -166,7 +165,7 @@
 /// After a restart under the same id, an entry of the earlier start never
 /// brings that start back; an entry without incarnation counts by its revision
 /// alone.
-TEST(server_directory, a_late_word_of_an_earlier_start_is_not_taken) {
+TEST(server_directory, late_entry_of_an_earlier_start_is_ignored) {
   server_directory directory;
   const auto start_of = [](int64_t incarnation, int64_t revision) {
     listed_server out = server("a", revision);
@@ -182,7 +181,7 @@
   EXPECT_EQ(directory.find("a")->incarnation, 0);
 }
 
-TEST(collect_groups, a_senseless_rank_is_not_believed) {
+TEST(collect_groups, out_of_range_rank_is_ignored) {
   EXPECT_EQ(group_of({server("a", 1, -1, member_phase::open)}).name, "");
   EXPECT_EQ(group_of({server("a", 1, 1 << 30, member_phase::open)}).name, "");
 }
@@ -193,7 +192,7 @@
 }
 
 /// A node that has just started lacks all servers, more than fit a datagram.
-TEST(server_change, parts_bring_a_large_directory_over_in_order) {
+TEST(server_change, parts_transfer_a_large_directory_in_order) {
   constexpr int servers = 931;
   constexpr size_t most = 200;
   server_directory from;
@@ -219,7 +218,7 @@
   EXPECT_EQ(split_server_changes({}, 200, 7, 9), expected);
 }
 
-TEST(server_change, servers_that_lapse_never_hide_later_changes) {
+TEST(server_change, expiring_servers_never_hide_later_changes) {
   server_directory from;
   for (int i = 1; i <= 9; ++i) from.update(server(std::to_string(i), i));
   for (int i = 1; i <= 7; ++i) {
@@ -229,9 +228,9 @@
       split_server_changes(server_changes_since(from, 7, start), 3, 7, 9);
   EXPECT_EQ(parts.front().from_revision, 7);
   EXPECT_EQ(parts.back().to_revision, 9);
-  size_t told = 0;
-  for (const auto& part : parts) told += part.servers.size();
-  EXPECT_EQ(told, 9U);
+  size_t reported = 0;
+  for (const auto& part : parts) reported += part.servers.size();
+  EXPECT_EQ(reported, 9U);
 }
 
 }  // namespace
--- a/test/view-test.cc
+++ b/test/view-test.cc
@@ -12,7 +12,7 @@
   return {{kinds::host, name}, version, std::to_string(version), false};
 }
 
-TEST(object_view, only_moves_upward) {
+TEST(object_view, keeps_the_highest_version) {
   object_view view;
   EXPECT_TRUE(view.merge(version_of("a", 5)));
   EXPECT_FALSE(view.merge(version_of("a", 4)));
@@ -20,7 +20,7 @@
   EXPECT_EQ(view.find({kinds::host, "a"})->version, 5);
 }
 
-TEST(object_view, a_deletion_is_not_undone_by_old_news) {
+TEST(object_view, deletion_is_not_undone_by_older_versions) {
   object_view view;
   view.merge(version_of("a", 5));
   object gone = version_of("a", 7);
@@ -31,7 +31,7 @@
   EXPECT_TRUE(view.merge(version_of("a", 8)));
 }
 
-TEST(object_view, a_list_removes_what_it_lacks_but_nothing_newer) {
+TEST(object_view, list_removes_missing_objects_but_nothing_newer) {
   object_view view;
   view.merge(version_of("a", 5));
   view.merge(version_of("b", 20));
@@ -42,18 +42,18 @@
 }
 
 RC_GTEST_PROP(object_view_property, any_order_gives_the_same_digest, ()) {
-  std::vector<object> news;
+  std::vector<object> updates;
   const auto count = *rc::gen::inRange(0, 30);
   for (int i = 0; i < count; i++) {
     const auto name = std::string(1, *rc::gen::inRange('a', 'f'));
-    news.push_back(version_of(name, *rc::gen::inRange(1, 9)));
+    updates.push_back(version_of(name, *rc::gen::inRange(1, 9)));
   }
   object_view a;
   object_view b;
-  for (const auto& o : news) a.merge(o);
-  std::reverse(news.begin(), news.end());
-  for (const auto& o : news) b.merge(o);
-  for (const auto& o : news) b.merge(o);
+  for (const auto& o : updates) a.merge(o);
+  std::reverse(updates.begin(), updates.end());
+  for (const auto& o : updates) b.merge(o);
+  for (const auto& o : updates) b.merge(o);
   RC_ASSERT(a.digest() == b.digest());
   RC_ASSERT(a.newer_than(b.stamps()).empty());
 }
