--- a/include/spokesail/lease-takeover.h
+++ b/include/spokesail/lease-takeover.h
@@ -16,7 +16,8 @@
                               const std::string& self);
 
 /// How long a candidate waits after a lease has expired. A node without a rank
-/// waits longer; `chance`, from 0 to 1, is its random share of the extra wait.
+/// waits longer; `random_unit`, from 0 to 1, is its random share of the extra
+/// wait.
 absl::Duration takeover_delay(std::optional<int> rank, double random_unit);
 
 /// How long after its start a node that has learned of no holder waits before
--- a/include/spokesail/membership.h
+++ b/include/spokesail/membership.h
@@ -62,7 +62,7 @@
   /// The sender's probes confirmed all observations at this time or later, on
   /// its clock.
   absl::Time probed_at;
-  /// Whether `words` holds all observations of the sender's probes.
+  /// Whether `observations` holds all observations of the sender's probes.
   bool has_observations = false;
   std::vector<host_observation> observations;
   /// All loads that are not zero.
--- a/include/spokesail/staleness.h
+++ b/include/spokesail/staleness.h
@@ -50,7 +50,7 @@
 
 /// Whether a node with knowledge of these ages has to read the store itself.
 bool must_watch_store(const news_age& known, const staleness_bounds& bounds,
-                      const relay_status& position);
+                      const relay_status& status);
 
 /// Whether a node may learn too late that a server is leaving.
 bool servers_stale(const news_age& known, const staleness_bounds& bounds);
--- a/include/spokesail/view.h
+++ b/include/spokesail/view.h
@@ -9,7 +9,7 @@
 
 namespace spokesail {
 
-/// An object's key and version, to tell a peer what is known.
+/// An object's key and version, to report to a peer what is known.
 struct object_stamp {
   object_key key;
   int64_t version = 0;
--- a/src/evacuation-feed.cc
+++ b/src/evacuation-feed.cc
@@ -83,12 +83,12 @@
 }
 
 void evacuation_feed::apply_listing(const object_listing& listing,
-                                    absl::Time proof) {
+                                    absl::Time verified_at) {
   evacuation_snapshot snapshot;
   snapshot.revision = listing.revision;
   snapshot.age = absl::ZeroDuration();
   for (const auto& o : listing.objects) snapshot.halls.insert(o.key.name);
-  apply_evacuations(this->node, snapshot, proof, "store");
+  apply_evacuations(this->node, snapshot, verified_at, "store");
 }
 
 absl::Duration evacuation_feed::apply_changes(const object_changes& changes,
@@ -108,8 +108,8 @@
   const absl::Time wait_end = sent + this->current_watch_wait;
   const bool timed_out =
       changes.objects.empty() && this->node.now() >= wait_end;
-  const absl::Time proof = timed_out ? wait_end : sent;
-  apply_evacuations(this->node, snapshot, proof, "store");
+  const absl::Time verified_at = timed_out ? wait_end : sent;
+  apply_evacuations(this->node, snapshot, verified_at, "store");
   return absl::ZeroDuration();
 }
 
--- a/src/evacuation-feed.h
+++ b/src/evacuation-feed.h
@@ -38,7 +38,8 @@
   bool contains_requested(const object_listing&) const override {
     return false;
   }
-  void apply_listing(const object_listing& listing, absl::Time proof) override;
+  void apply_listing(const object_listing& listing,
+                     absl::Time verified_at) override;
   absl::Duration apply_changes(const object_changes& changes,
                                absl::Time sent) override;
 
--- a/src/hall-evacuations.cc
+++ b/src/hall-evacuations.cc
@@ -20,8 +20,8 @@
 
 evacuation_change hall_evacuations::apply(const evacuation_snapshot& snapshot,
                                           absl::Time as_of, absl::Time now) {
-  // A node at a later revision also knows everything that the earlier state
-  // proves.
+  // An older snapshot may extend this time too: the later revision known here
+  // contains everything that it confirms.
   this->last_verified = std::max(this->last_verified, as_of - snapshot.age);
   if (this->learned && snapshot.revision <= this->revision) return {};
   evacuation_change change = {difference(snapshot.halls, this->halls),
--- a/src/lease-manager.h
+++ b/src/lease-manager.h
@@ -59,7 +59,7 @@
   /// This node's rank among the first candidates; nothing if it is not among
   /// them.
   std::optional<int> rank() const;
-  /// This node's takeover delay, as a multiple of the lease's takeover spread.
+  /// This node's takeover delay, as a multiple of the lease's takeover jitter.
   double takeover_jitter_share();
   /// Reads the lease from the store. False if the store does not answer.
   boost::asio::awaitable<bool> read();
--- a/src/membership.cc
+++ b/src/membership.cc
@@ -9,7 +9,7 @@
 namespace {
 
 /// Assumed bound of the drift between two clocks, in seconds per second.
-constexpr double drift = 0.0002;
+constexpr double max_clock_drift = 0.0002;
 
 /// A member that has sent nothing for this long gets no more heartbeats.
 constexpr absl::Duration forget_after = absl::Minutes(10);
@@ -19,7 +19,7 @@
 void clock_offset::learn(absl::Time sent, absl::Time peer) {
   absl::Duration widened = this->offset;
   if (this->known()) {
-    widened -= drift * (sent - this->last_learned);
+    widened -= max_clock_drift * (sent - this->last_learned);
   }
   this->offset = std::max(widened, sent - peer);
   this->last_learned = sent;
--- a/src/remote-gossip.cc
+++ b/src/remote-gossip.cc
@@ -12,7 +12,7 @@
 
 /// Messages per second that a node sends to nodes of remote halls in all:
 /// traffic between halls is expensive, and most requests stay in one hall.
-constexpr double far_messages_per_s = 60;
+constexpr double remote_messages_per_s = 60;
 
 /// With more nodes than this in remote halls, halls exchange summaries instead:
 /// a full mesh would update each node less than four times a second.
@@ -52,7 +52,7 @@
 
 absl::Duration remote_gossip::mesh_period() const {
   const int count = this->link.count_reachable_peers(true);
-  return std::max(min_period, absl::Seconds(count / far_messages_per_s));
+  return std::max(min_period, absl::Seconds(count / remote_messages_per_s));
 }
 
 gossip remote_gossip::summarize_hall(const gossip& own, absl::Time now) const {
@@ -77,7 +77,7 @@
   const auto summary = this->halls.find(hall);
   const bool fresh =
       summary != this->halls.end() && now - summary->second.at < hall_timeout;
-  return fresh ? summary->second.firsts : top_ranked(relay_order(known));
+  return fresh ? summary->second.contacts : top_ranked(relay_order(known));
 }
 
 void remote_gossip::send_due(const gossip& own, absl::Time now) {
@@ -157,16 +157,17 @@
   std::vector<relay_candidate> all = this->link.live_local_peers();
   all.push_back({this->node.settings.node, this->node.settings.cores});
   if (!mesh) {
-    const auto firsts = top_ranked(relay_order(all));
+    const auto contacts = top_ranked(relay_order(all));
     std::erase_if(all, [&](const relay_candidate& c) {
-      return std::find(firsts.begin(), firsts.end(), c.name) == firsts.end();
+      return std::find(contacts.begin(), contacts.end(), c.name) ==
+             contacts.end();
     });
   }
   for (const auto& [hall, known] : this->link.remote_hall_peers()) {
-    const auto firsts = this->top_ranked_of(hall, known, now);
+    const auto contacts = this->top_ranked_of(hall, known, now);
     for (const auto& node_of_hall : known) {
-      const bool first = std::find(firsts.begin(), firsts.end(),
-                                   node_of_hall.name) != firsts.end();
+      const bool first = std::find(contacts.begin(), contacts.end(),
+                                   node_of_hall.name) != contacts.end();
       if (first || mesh) all.push_back(node_of_hall);
     }
   }
--- a/src/remote-gossip.h
+++ b/src/remote-gossip.h
@@ -42,7 +42,7 @@
   /// The latest summary of a remote hall.
   struct hall_summary {
     int nodes = 0;
-    std::vector<std::string> firsts;
+    std::vector<std::string> contacts;
     absl::Time at = absl::InfinitePast();
   };
   /// Whether each node sends to each node of the remote halls (full mesh).
@@ -53,7 +53,7 @@
   /// Callers' demand at this node, or in its hall when it sends the hall's
   /// summary.
   std::vector<model_demand> demand_to_send(bool mesh, absl::Time now) const;
-  /// Whether this node has recently received a summary directly from another
+  /// Whether this node has recently received a summary directly from a remote
   /// hall.
   bool heard_directly(absl::Time now) const;
   /// The nodes of a remote hall that receive this hall's summary.
--- a/src/server-changes.h
+++ b/src/server-changes.h
@@ -24,9 +24,9 @@
   bool operator==(const server_change_batch&) const = default;
 };
 
-/// Splits all changes after `from` up to `to` into parts of about `most`
+/// Splits all changes after `from` up to `to` into batches of about `max_size`
 /// changes, to be applied in order; changes of one revision are not split.
-/// Returns at least one part.
+/// Returns at least one batch.
 std::vector<server_change_batch> split_server_changes(
     std::vector<server_change> changes, size_t max_size, int64_t from,
     int64_t to);
--- a/src/server-directory.cc
+++ b/src/server-directory.cc
@@ -159,12 +159,12 @@
 }
 
 bool server_directory::expire(absl::Time now, absl::Time known_at) {
-  std::vector<std::string> lapsed;
+  std::vector<std::string> expired;
   for (const auto& id : this->expiring) {
     const absl::Time at = this->by_id.at(id).expires_at;
-    if (at <= now && at <= known_at) lapsed.push_back(id);
+    if (at <= now && at <= known_at) expired.push_back(id);
   }
-  for (const auto& id : lapsed) {
+  for (const auto& id : expired) {
     this->mark_removed(id, this->by_id.at(id).revision);
     this->erase(id);
   }
@@ -173,7 +173,7 @@
     this->removal_revisions.erase(this->removals.begin()->second);
     this->removals.erase(this->removals.begin());
   }
-  return !lapsed.empty();
+  return !expired.empty();
 }
 
 const server_entry* server_directory::find(const std::string& id) const {
--- a/src/server-feed.cc
+++ b/src/server-feed.cc
@@ -30,7 +30,7 @@
     : store_feed(state.adapter.kinds().servers, "list_servers",
                  "watch_servers"),
       node(state),
-      reach(store) {}
+      reachability(store) {}
 
 absl::Duration server_feed::wait(bool) { return watch_wait; }
 
@@ -49,7 +49,7 @@
 }
 
 void server_feed::apply_listing(const object_listing& listing,
-                                absl::Time proof) {
+                                absl::Time verified_at) {
   std::map<std::string, listed_server> listed;
   std::vector<const object*> unusable;
   for (const auto& o : listing.objects) {
@@ -66,7 +66,7 @@
   // are.
   for (const object* o : unusable) this->remove_unusable(*o);
   this->node.directory_listed = true;
-  this->advance_verified_at(proof);
+  this->advance_verified_at(verified_at);
   this->node.invalidate_group_cache();
   this->node.log.state_change("servers_listed",
                               {{"count", absl::StrCat(listed.size())},
@@ -88,9 +88,9 @@
   return this->low_latency_needed() ? urgent_batch_time : batch_time;
 }
 
-void server_feed::advance_verified_at(absl::Time proof) {
+void server_feed::advance_verified_at(absl::Time verified_at) {
   this->node.servers_verified_at =
-      std::max(this->node.servers_verified_at, proof);
+      std::max(this->node.servers_verified_at, verified_at);
 }
 
 void server_feed::apply_entries(const std::vector<object>& objects,
@@ -168,7 +168,7 @@
 }
 
 absl::Time server_feed::keep_missing_until() const {
-  const absl::Time until = this->reach.recovered_at() + expiry_grace;
+  const absl::Time until = this->reachability.recovered_at() + expiry_grace;
   return until > this->node.now() ? until : absl::InfinitePast();
 }
 
--- a/src/server-feed.h
+++ b/src/server-feed.h
@@ -17,7 +17,7 @@
 /// Keeps the node's directory of servers up to date.
 class server_feed : public store_feed {
  public:
-  server_feed(node_context& node, const store_reachability& reach);
+  server_feed(node_context& node, const store_reachability& reachability);
 
   /// Called whenever the servers have changed.
   std::function<void()> on_change;
@@ -34,7 +34,8 @@
   bool contains_requested(const object_listing&) const override {
     return false;
   }
-  void apply_listing(const object_listing& listing, absl::Time proof) override;
+  void apply_listing(const object_listing& listing,
+                     absl::Time verified_at) override;
   absl::Duration apply_changes(const object_changes& changes,
                                absl::Time sent) override;
 
@@ -46,10 +47,11 @@
   /// Parses an entry. Returns nothing, and logs why, if it describes no usable
   /// server.
   std::optional<server_entry> parse_entry(const object& o);
-  /// Removes a server whose entry is unusable, whatever it said before.
+  /// Removes a server whose entry is unusable, even if earlier entries of it
+  /// were not.
   void remove_unusable(const object& o);
   /// Records that all changes up to a time are known.
-  void advance_verified_at(absl::Time proof);
+  void advance_verified_at(absl::Time verified_at);
   /// Applies the end of an entry, which counts as present until `keep_until`.
   void apply_removal(const object& o, int64_t revision, absl::Time keep_until);
   /// Until when entries that are missing after an outage are kept; infinite
@@ -57,7 +59,7 @@
   absl::Time keep_missing_until() const;
 
   node_context& node;
-  const store_reachability& reach;
+  const store_reachability& reachability;
 };
 
 }  // namespace spokesail
--- a/src/staleness.cc
+++ b/src/staleness.cc
@@ -54,12 +54,12 @@
 }
 
 bool must_watch_store(const news_age& known, const staleness_bounds& bounds,
-                      const relay_status& position) {
+                      const relay_status& status) {
   const double share =
-      position.may_have_followers ? relay_servers_share : servers_share;
+      status.may_have_followers ? relay_servers_share : servers_share;
   if (known.servers > share * bounds.drain_deadline) return true;
   if (evacuations_stale(known, share, bounds)) return true;
-  return !position.relay_confirmed &&
+  return !status.relay_confirmed &&
          known.config > config_limit(unconfirmed_share, bounds);
 }
 
--- a/src/store-relay.cc
+++ b/src/store-relay.cc
@@ -129,12 +129,12 @@
   auto changes =
       server_changes_since(this->node.directory, from, this->node.now());
   const int64_t to = this->node.directory.revision();
-  for (auto& part : split_server_changes(std::move(changes),
-                                         max_changes_per_message, from, to)) {
-    out.from_revision = part.from_revision;
-    out.to_revision = part.to_revision;
-    out.servers = std::move(part.servers);
-    out.all_servers = this->node.directory_listed && part.to_revision == to;
+  for (auto& batch : split_server_changes(std::move(changes),
+                                          max_changes_per_message, from, to)) {
+    out.from_revision = batch.from_revision;
+    out.to_revision = batch.to_revision;
+    out.servers = std::move(batch.servers);
+    out.all_servers = this->node.directory_listed && batch.to_revision == to;
     this->link.send(peer, out);
     this->sender.on_sent(peer, out.from_revision, out.to_revision,
                          out.config_revision, this->node.now());
@@ -171,8 +171,8 @@
   }
   news_age age = {update.config_age, update.servers_age};
   if (update.evacuations) age.evacuations = update.evacuations->age;
-  const bool outdated = relay_stale(age, this->node.settings.bounds);
-  if (!update.store_reachable || outdated) {
+  const bool stale = relay_stale(age, this->node.settings.bounds);
+  if (!update.store_reachable || stale) {
     this->exclude_relay(peer, stale_exclusion, "its own state is stale");
     this->request_update();
     return false;
@@ -187,7 +187,7 @@
   return true;
 }
 
-void store_relay::receive(const std::string& peer, const store_update& update) {
+void store_relay::take(const std::string& peer, const store_update& update) {
   const bool requested = update.nonce != 0;
   this->on_update(update);
   this->apply_evacuated_halls(peer, update);
--- a/src/store-relay.h
+++ b/src/store-relay.h
@@ -16,11 +16,11 @@
 
 /// The holder of the controller's lease watches the store and forwards its
 /// changes down a tree of each data hall's nodes (see relay-choice.h), together
-/// with the holder's own report. The age of a relay's knowledge of
-/// configuration and servers counts from when the request was sent, so that a
-/// late response is never taken for a fresh one. A node whose relay does not
-/// answer or is stale tries the next one, and in the end watches the store
-/// itself (see news-age.h).
+/// with the holder's state. The age of a relay's knowledge of configuration and
+/// servers counts from when the request was sent, so that a late response is
+/// never taken for a fresh one. A node whose relay does not answer or is stale
+/// tries the next one, and in the end watches the store itself (see
+/// staleness.h).
 class store_relay {
  public:
   store_relay(node_context& node, peer_link& link) : node(node), link(link) {}
@@ -47,7 +47,7 @@
   void push();
 
   void answer(const std::string& peer, const store_update_request& request);
-  void receive(const std::string& peer, const store_update& update);
+  void take(const std::string& peer, const store_update& update);
 
   /// Name of the node that holds the controller's lease; empty if unknown.
   std::function<std::string()> holder;
@@ -63,7 +63,7 @@
  private:
   void request_update();
   /// Sends the relay a request with the current position, under the nonce set
-  /// by `ask`.
+  /// by `request_update`.
   void send_request();
   /// Requests missed changes from the relay without waiting for the next
   /// period.
@@ -77,7 +77,7 @@
   /// Handles the response to the last request: whether the relay is fresh, and
   /// what it confirms. False if the relay knows no more than this node.
   bool accept_response(const std::string& peer, const store_update& update);
-  /// Applies the changes of servers in `said` if they follow on this node's
+  /// Applies the changes of servers in `update` if they follow on this node's
   /// revision.
   void apply_servers(const std::string& peer, const store_update& update);
   /// The revisions up to which this node has what it forwards.
@@ -87,7 +87,7 @@
   /// time.
   bool answers_last_request(const std::string& peer,
                             const store_update& update) const;
-  /// Applies the evacuated halls in `said`, if it has any.
+  /// Applies the evacuated halls in `update`, if it has any.
   void apply_evacuated_halls(const std::string& peer,
                              const store_update& update);
   /// Records how current the servers are according to a response.
--- a/test/gossip-pacer-test.cc
+++ b/test/gossip-pacer-test.cc
@@ -44,9 +44,9 @@
   int node = 0;
   std::string group;
   double prompt = 0;
-  absl::Time read_at;
+  absl::Time prefilled_at;
   absl::Time ends_at;
-  bool read = false;
+  bool prefilled = false;
 };
 
 /// A message in transit.
@@ -56,30 +56,30 @@
   std::vector<endpoint_load> loads;
 };
 
-/// Simulates the hall. Returns the mean number of unread prompt tokens that a
+/// Simulates the hall. Returns the mean number of pending prefill tokens that a
 /// request met in its group, with requests reported at once (`at_once`) or by
 /// the period alone.
-double mean_unread_tokens(bool at_once, uint64_t seed) {
+double mean_pending_tokens(bool at_once, uint64_t seed) {
   const engine_profile engine = engine_of_groups();
   model_profile model;
   model.pace = 0.6;
   random_stream random{std::mt19937_64(seed)};
   std::vector<load_table> tables(nodes);
   std::vector<gossip_pacer> pacers(nodes);
-  std::vector<double> unread(groups, 0);
+  std::vector<double> pending(groups, 0);
   std::vector<running_request> running;
   std::deque<message> sent;
-  double unread_met = 0;
+  double pending_met = 0;
   int count = 0;
   const absl::Time began = absl::FromUnixSeconds(1000);
   for (absl::Time now = began; now < began + duration; now += tick) {
-    for (double& tokens : unread) {
-      const double read = engine.prefill_tokens_per_ms / model.pace;
-      tokens = std::max(0.0, tokens - read);
+    for (double& tokens : pending) {
+      const double prefilled = engine.prefill_tokens_per_ms / model.pace;
+      tokens = std::max(0.0, tokens - prefilled);
     }
     for (auto& r : running) {
-      if (!r.read && now >= r.read_at) {
-        r.read = true;
+      if (!r.prefilled && now >= r.prefilled_at) {
+        r.prefilled = true;
         tables[static_cast<size_t>(r.node)].read(r.group, r.prompt);
       }
       if (now >= r.ends_at) tables[static_cast<size_t>(r.node)].end(r.group);
@@ -107,11 +107,11 @@
       const auto chosen =
           choose_group(engine, model, options, {prompt, 150}, random);
       if (chosen) {
-        unread_met += unread[*chosen];
+        pending_met += pending[*chosen];
         ++count;
-        unread[*chosen] += prompt;
+        pending[*chosen] += prompt;
         const absl::Time first =
-            now + absl::Milliseconds(80 + unread[*chosen] * model.pace /
+            now + absl::Milliseconds(80 + pending[*chosen] * model.pace /
                                               engine.prefill_tokens_per_ms);
         const absl::Time end = now + 2 * mean_run * random.unit();
         running.push_back(
@@ -130,15 +130,15 @@
       sent.push_back({now + link_delay, n, tables[at].own()});
     }
   }
-  return unread_met / count;
+  return pending_met / count;
 }
 
 TEST(gossip_pacer, immediate_reports_spread_requests_over_groups) {
   double at_once = 0;
   double by_period = 0;
   for (uint64_t seed = 1; seed <= 3; ++seed) {
-    at_once += mean_unread_tokens(true, seed);
-    by_period += mean_unread_tokens(false, seed);
+    at_once += mean_pending_tokens(true, seed);
+    by_period += mean_pending_tokens(false, seed);
   }
   RecordProperty("at_once", absl::StrCat(at_once / 3));
   RecordProperty("by_period", absl::StrCat(by_period / 3));
@@ -147,21 +147,21 @@
 
 TEST(gossip_pacer, a_node_without_new_requests_waits_for_the_period) {
   constexpr int peers = 29;
-  gossip_pacer pace;
+  gossip_pacer pacer;
   absl::Time now = absl::FromUnixSeconds(1000);
-  EXPECT_TRUE(pace.due(0, peers, now));
-  pace.on_sent(0, peers, now);
-  EXPECT_FALSE(pace.due(0, peers, now + absl::Milliseconds(180)));
-  EXPECT_TRUE(pace.due(0, peers, now + absl::Milliseconds(182)));
+  EXPECT_TRUE(pacer.due(0, peers, now));
+  pacer.on_sent(0, peers, now);
+  EXPECT_FALSE(pacer.due(0, peers, now + absl::Milliseconds(180)));
+  EXPECT_TRUE(pacer.due(0, peers, now + absl::Milliseconds(182)));
 }
 
 TEST(gossip_pacer, new_requests_are_reported_at_a_bounded_rate) {
   constexpr int peers = 300;
-  gossip_pacer pace;
+  gossip_pacer pacer;
   const absl::Time now = absl::FromUnixSeconds(1000);
-  pace.on_sent(0, peers, now);
-  EXPECT_FALSE(pace.due(1, peers, now + absl::Milliseconds(499)));
-  EXPECT_TRUE(pace.due(1, peers, now + absl::Milliseconds(500)));
+  pacer.on_sent(0, peers, now);
+  EXPECT_FALSE(pacer.due(1, peers, now + absl::Milliseconds(499)));
+  EXPECT_TRUE(pacer.due(1, peers, now + absl::Milliseconds(500)));
 }
 
 }  // namespace
--- a/test/hall-evacuations-test.cc
+++ b/test/hall-evacuations-test.cc
@@ -97,7 +97,7 @@
   hall_evacuations known;
   int64_t newest = -1;
   absl::Time now = start;
-  absl::Time latest_proof = absl::InfinitePast();
+  absl::Time latest_verified = absl::InfinitePast();
   // By hall, when this node learned of the end of its evacuation, if it is not
   // evacuated again since.
   std::map<std::string, absl::Time> ends;
@@ -114,11 +114,11 @@
       for (const auto& hall : halls) ends.erase(hall);
     }
     newest = std::max(newest, revision);
-    latest_proof = std::max(latest_proof, now - age);
+    latest_verified = std::max(latest_verified, now - age);
     known.apply({revision, age, halls}, now, now);
     const auto& expected = history[static_cast<size_t>(newest)];
     RC_ASSERT(known.snapshot(now) ==
-              (evacuation_snapshot{newest, now - latest_proof, expected}));
+              (evacuation_snapshot{newest, now - latest_verified, expected}));
     const absl::Time servers_verified_at =
         now - absl::Milliseconds(*rc::gen::inRange(0, 60));
     for (int i = 0; i < 3; ++i) {
--- a/test/lease-takeover-test.cc
+++ b/test/lease-takeover-test.cc
@@ -13,7 +13,7 @@
   return out;
 }
 
-TEST(lease_turn, only_the_first_candidates_have_a_rank) {
+TEST(lease_takeover, only_the_first_candidates_have_a_rank) {
   const auto order = candidates(295);
   EXPECT_EQ(lease_rank(order, "n0"), 0);
   EXPECT_EQ(lease_rank(order, "n11"), 11);
@@ -22,7 +22,7 @@
   EXPECT_EQ(lease_rank({}, "n0"), std::nullopt);
 }
 
-TEST(lease_turn, delays_grow_with_rank_and_are_longest_without_one) {
+TEST(lease_takeover, delays_grow_with_rank_and_are_longest_without_one) {
   for (int rank = 1; rank < 12; ++rank) {
     EXPECT_GT(takeover_delay(rank, 0), takeover_delay(rank - 1, 1));
     EXPECT_GT(first_read_delay(rank, 0), first_read_delay(rank - 1, 1));
@@ -32,7 +32,8 @@
 }
 
 /// A holder's report reaches all nodes within three relay hops of 180 ms.
-TEST(lease_turn, few_of_a_large_fleet_read_the_lease_when_all_start_at_once) {
+TEST(lease_takeover,
+     few_of_a_large_fleet_read_the_lease_when_all_start_at_once) {
   const absl::Duration informed_after = absl::Milliseconds(540);
   const auto order = candidates(295);
   int reads = 0;
--- a/test/membership-test.cc
+++ b/test/membership-test.cc
@@ -56,7 +56,7 @@
   EXPECT_TRUE(m.on_heartbeat(heartbeat_at(2, start)));
   EXPECT_FALSE(m.on_heartbeat(heartbeat_at(1, start)));
   EXPECT_FALSE(m.on_heartbeat(heartbeat_at(2, start)));
-  EXPECT_TRUE(m.on_heartbeat(heartbeat_at(1, start, 2)));  // it started anew
+  EXPECT_TRUE(m.on_heartbeat(heartbeat_at(1, start, 2)));  // it has restarted
 }
 
 TEST(membership, heartbeats_go_to_the_hall_and_one_node_of_each_other) {
--- a/test/relay-fleet.h
+++ b/test/relay-fleet.h
@@ -29,12 +29,12 @@
   struct message {
     int from = 0;
     int to = 0;
-    /// Whether this is a request; otherwise it carries changes, in answer to a
-    /// request or without one.
+    /// Whether this is a request; otherwise it carries changes, in response to
+    /// a request or without one.
     bool is_request = false;
     bool in_response = false;
     follower_position position;
-    server_change_batch part;
+    server_change_batch batch;
   };
 
   /// The fate of a message on a link: its delay, or that it is lost.
@@ -102,12 +102,12 @@
     }
   }
 
-  /// The quantile `part`, from 0 to 1, of the delays with which nodes learned
+  /// The given quantile, from 0 to 1, of the delays with which nodes learned
   /// of changes.
-  absl::Duration lag_quantile(double part) const {
+  absl::Duration lag_quantile(double quantile) const {
     std::vector<absl::Duration> all = this->lags;
     const auto rank = static_cast<size_t>(
-        part * static_cast<double>(std::max<size_t>(all.size(), 1) - 1));
+        quantile * static_cast<double>(std::max<size_t>(all.size(), 1) - 1));
     if (all.empty()) return absl::ZeroDuration();
     std::nth_element(all.begin(), all.begin() + static_cast<long>(rank),
                      all.end());
@@ -159,10 +159,10 @@
 
   void send(message m) {
     ++this->sent_messages;
-    this->sent_changes += m.part.servers.size();
-    const absl::Duration takes = this->delay_of(m);
-    if (takes == lost) return;
-    this->schedule(this->now + takes,
+    this->sent_changes += m.batch.servers.size();
+    const absl::Duration delay = this->delay_of(m);
+    if (delay == lost) return;
+    this->schedule(this->now + delay,
                    [this, m = std::move(m)] { this->receive(m); });
   }
 
@@ -195,14 +195,14 @@
 
   void apply_changes(node& n, const message& m) {
     const int64_t known = n.directory.revision();
-    if (!n.receiver.on_message(m.part.from_revision, known)) {
+    if (!n.receiver.on_message(m.batch.from_revision, known)) {
       if (n.receiver.request_out_of_turn(known, this->now))
         this->send_request(m.to);
       return;
     }
     const bool changed =
-        apply_server_changes(n.directory, m.part.servers, this->now);
-    n.directory.advance_revision(m.part.to_revision);
+        apply_server_changes(n.directory, m.batch.servers, this->now);
+    n.directory.advance_revision(m.batch.to_revision);
     for (int64_t r = known + 1; r <= n.directory.revision(); ++r) {
       const absl::Time changed_at =
           this->change_times[static_cast<size_t>(r - 1)];
@@ -224,11 +224,11 @@
     node& n = this->nodes[static_cast<size_t>(i)];
     const int64_t until = n.directory.revision();
     auto changes = server_changes_since(n.directory, from, this->now);
-    for (auto& part : split_server_changes(
+    for (auto& batch : split_server_changes(
              std::move(changes), max_changes_per_message, from, until)) {
-      n.sender.on_sent(absl::StrCat(to), part.from_revision, part.to_revision,
+      n.sender.on_sent(absl::StrCat(to), batch.from_revision, batch.to_revision,
                        0, this->now);
-      this->send({i, to, false, in_response, {}, std::move(part)});
+      this->send({i, to, false, in_response, {}, std::move(batch)});
     }
   }
 
--- a/test/server-directory-test.cc
+++ b/test/server-directory-test.cc
@@ -30,11 +30,11 @@
   cold.cold_until = absl::UnixEpoch() + absl::Milliseconds(2750);
   from.update(cold);
   const absl::Time reported = absl::UnixEpoch() + absl::Milliseconds(750);
-  const auto news = server_changes_since(from, 0, reported);
+  const auto changes = server_changes_since(from, 0, reported);
   // The clocks of two nodes are unrelated.
   const absl::Time received_at = absl::UnixEpoch() + absl::Hours(9);
   server_directory to;
-  apply_server_changes(to, news, received_at);
+  apply_server_changes(to, changes, received_at);
   EXPECT_EQ(to.servers().at("s").cold_until, received_at + absl::Seconds(2));
   EXPECT_EQ(to.all_warm_at(), received_at + absl::Seconds(2));
 }
@@ -156,10 +156,10 @@
 }
 
 TEST(collect_groups, members_of_another_epoch_do_not_count) {
-  auto old = server("b", 1, 1, member_phase::ready);
-  old.entry.membership.epoch = 6;
+  auto earlier = server("b", 1, 1, member_phase::ready);
+  earlier.entry.membership.epoch = 6;
   EXPECT_FALSE(
-      group_of({server("a", 1, 0, member_phase::open), old}).serving());
+      group_of({server("a", 1, 0, member_phase::open), earlier}).serving());
 }
 
 /// After a restart under the same id, an entry of the earlier start never
@@ -192,28 +192,28 @@
 }
 
 /// A node that has just started lacks all servers, more than fit a datagram.
-TEST(server_change, parts_transfer_a_large_directory_in_order) {
+TEST(server_change, batches_transfer_a_large_directory_in_order) {
   constexpr int servers = 931;
-  constexpr size_t most = 200;
+  constexpr size_t max_size = 200;
   server_directory from;
   for (int i = 1; i <= servers; ++i) {
     from.update(server(std::to_string(i), i));
   }
   from.advance_revision(servers + 5);
-  const auto parts = split_server_changes(server_changes_since(from, 0, start),
-                                          most, 0, from.revision());
+  const auto batches = split_server_changes(
+      server_changes_since(from, 0, start), max_size, 0, from.revision());
   server_directory to;
-  for (const auto& part : parts) {
-    EXPECT_EQ(part.from_revision, to.revision());
-    EXPECT_LE(part.servers.size(), most);
-    apply_server_changes(to, part.servers, start);
-    to.advance_revision(part.to_revision);
+  for (const auto& batch : batches) {
+    EXPECT_EQ(batch.from_revision, to.revision());
+    EXPECT_LE(batch.servers.size(), max_size);
+    apply_server_changes(to, batch.servers, start);
+    to.advance_revision(batch.to_revision);
   }
   EXPECT_EQ(to.servers(), from.servers());
   EXPECT_EQ(to.revision(), from.revision());
 }
 
-TEST(server_change, without_changes_there_is_one_empty_part) {
+TEST(server_change, without_changes_there_is_one_empty_batch) {
   const std::vector<server_change_batch> expected = {{7, 9, {}}};
   EXPECT_EQ(split_server_changes({}, 200, 7, 9), expected);
 }
@@ -224,12 +224,12 @@
   for (int i = 1; i <= 7; ++i) {
     from.remove(std::to_string(i), i, start + absl::Seconds(2));
   }
-  const auto parts =
+  const auto batches =
       split_server_changes(server_changes_since(from, 7, start), 3, 7, 9);
-  EXPECT_EQ(parts.front().from_revision, 7);
-  EXPECT_EQ(parts.back().to_revision, 9);
+  EXPECT_EQ(batches.front().from_revision, 7);
+  EXPECT_EQ(batches.back().to_revision, 9);
   size_t reported = 0;
-  for (const auto& part : parts) reported += part.servers.size();
+  for (const auto& batch : batches) reported += batch.servers.size();
   EXPECT_EQ(reported, 9U);
 }
 
--- a/test/staleness-test.cc
+++ b/test/staleness-test.cc
@@ -15,40 +15,42 @@
 /// A relay may answer, with a current configuration, while its list of servers
 /// no longer changes. Without an age of the list, all nodes below it kept
 /// sending requests to servers that had left.
-TEST(news_age, relay_with_stale_servers_is_rejected) {
+TEST(staleness, relay_with_stale_servers_is_rejected) {
   EXPECT_FALSE(relay_stale({fresh, fresh}, bounds()));
   EXPECT_FALSE(relay_stale({fresh, absl::Seconds(1.9)}, bounds()));
   EXPECT_TRUE(relay_stale({fresh, absl::Seconds(2)}, bounds()));
 }
 
-TEST(news_age, relay_with_stale_configuration_is_rejected) {
+TEST(staleness, relay_with_stale_configuration_is_rejected) {
   EXPECT_FALSE(relay_stale({absl::Seconds(2.4), fresh}, bounds()));
   EXPECT_TRUE(relay_stale({absl::Seconds(2.6), fresh}, bounds()));
 }
 
 /// The node's own knowledge counts, whatever its relay reports.
-TEST(news_age, node_with_stale_servers_reads_the_store) {
-  const relay_status proved = {true, false};
-  EXPECT_FALSE(must_watch_store({fresh, absl::Seconds(1.7)}, bounds(), proved));
-  EXPECT_TRUE(must_watch_store({fresh, absl::Seconds(1.9)}, bounds(), proved));
+TEST(staleness, node_with_stale_servers_reads_the_store) {
+  const relay_status confirmed = {true, false};
+  EXPECT_FALSE(
+      must_watch_store({fresh, absl::Seconds(1.7)}, bounds(), confirmed));
+  EXPECT_TRUE(
+      must_watch_store({fresh, absl::Seconds(1.9)}, bounds(), confirmed));
 }
 
 /// Relays read the store first and bring their followers up to date before
 /// these would read it: a follower's list is one request period older than its
 /// relay's.
-TEST(news_age, relays_read_the_store_before_their_followers) {
+TEST(staleness, relays_read_the_store_before_their_followers) {
   const news_age known = {fresh, absl::Seconds(1.6)};
   EXPECT_TRUE(must_watch_store(known, bounds(), {true, true}));
   EXPECT_FALSE(must_watch_store(known, bounds(), {true, false}));
 }
 
-TEST(news_age, stale_configuration_counts_without_a_confirmed_relay) {
+TEST(staleness, stale_configuration_counts_without_a_confirmed_relay) {
   const news_age known = {absl::Seconds(2.45), fresh};
   EXPECT_TRUE(must_watch_store(known, bounds(), {false, false}));
   EXPECT_FALSE(must_watch_store(known, bounds(), {true, false}));
 }
 
-TEST(news_age, shorter_revoke_time_bounds_the_configuration) {
+TEST(staleness, shorter_revoke_time_bounds_the_configuration) {
   staleness_bounds strict = bounds();
   strict.revoke_deadline = absl::Seconds(1);
   EXPECT_TRUE(relay_stale({absl::Milliseconds(600), fresh}, strict));
@@ -56,7 +58,7 @@
                                {false, false}));
 }
 
-TEST(news_age, evacuations_count_only_where_they_are_followed) {
+TEST(staleness, evacuations_count_only_where_they_are_followed) {
   const news_age known = {fresh, fresh, absl::Seconds(4)};
   EXPECT_FALSE(relay_stale(known, bounds()));
   EXPECT_FALSE(must_watch_store(known, bounds(), {true, false}));
@@ -68,7 +70,7 @@
 
 /// The followers of a holder whose watch hangs detect this, and read the store
 /// within the bound.
-TEST(news_age, stale_evacuations_are_read_within_the_bound) {
+TEST(staleness, stale_evacuations_are_read_within_the_bound) {
   staleness_bounds followed = bounds();
   followed.evacuate_deadline = absl::Seconds(5);
   const news_age old = {fresh, fresh, absl::Seconds(3.3)};
@@ -82,7 +84,7 @@
 }
 
 /// Knowledge that was never confirmed counts as infinitely old.
-TEST(news_age, unknown_state_is_stale) {
+TEST(staleness, unknown_state_is_stale) {
   EXPECT_TRUE(servers_stale({}, bounds()));
   EXPECT_TRUE(must_watch_store({}, bounds(), {true, false}));
   EXPECT_FALSE(servers_stale({fresh, fresh}, bounds()));
