--- a/include/spokesail/hall-evacuations.h
+++ b/include/spokesail/hall-evacuations.h
@@ -25,7 +25,7 @@
 class hall_evacuations {
  public:
   /// Applies a state received at `now`; its age counts back from `as_of`.
-  evacuation_change apply(const evacuation_snapshot& snapshot, absl::Time as_of,
+  evacuation_change apply(const evacuation_snapshot& received, absl::Time as_of,
                           absl::Time now);
 
   /// Whether any state has been applied.
--- a/src/hall-evacuations.cc
+++ b/src/hall-evacuations.cc
@@ -18,17 +18,17 @@
 
 }  // namespace
 
-evacuation_change hall_evacuations::apply(const evacuation_snapshot& snapshot,
+evacuation_change hall_evacuations::apply(const evacuation_snapshot& received,
                                           absl::Time as_of, absl::Time now) {
   // An older snapshot may extend this time too: the later revision known here
   // contains everything that it confirms.
-  this->last_verified = std::max(this->last_verified, as_of - snapshot.age);
-  if (this->learned && snapshot.revision <= this->revision) return {};
-  evacuation_change change = {difference(snapshot.halls, this->halls),
-                              difference(this->halls, snapshot.halls)};
+  this->last_verified = std::max(this->last_verified, as_of - received.age);
+  if (this->learned && received.revision <= this->revision) return {};
+  evacuation_change change = {difference(received.halls, this->halls),
+                              difference(this->halls, received.halls)};
   this->learned = true;
-  this->revision = snapshot.revision;
-  this->halls = snapshot.halls;
+  this->revision = received.revision;
+  this->halls = received.halls;
   for (const auto& hall : change.begun) this->ended_at.erase(hall);
   for (const auto& hall : change.ended) this->ended_at[hall] = now;
   return change;
--- a/src/server-directory.cc
+++ b/src/server-directory.cc
@@ -85,9 +85,9 @@
   }
   const auto known = this->by_id.find(id);
   if (known != this->by_id.end()) {
-    const bool expiring = known->second.expires_at != absl::InfinitePast();
+    const bool is_expiring = known->second.expires_at != absl::InfinitePast();
     if (known->second.revision > server.revision) return false;
-    if (known->second.revision == server.revision && !expiring) return false;
+    if (known->second.revision == server.revision && !is_expiring) return false;
     // A late entry of an earlier start, from whatever source.
     const int64_t incarnation = server.entry.incarnation;
     if (incarnation != 0 && incarnation < known->second.entry.incarnation)
