--- a/include/spokesail/hall-evacuations.h
+++ b/include/spokesail/hall-evacuations.h
@@ -24,16 +24,16 @@
 /// may have turned cold just before.
 class hall_evacuations {
  public:
-  /// Applies a state received at `now`; its age counts back from `as_of`.
+  /// Applies a snapshot received at `now`; its age counts back from `as_of`.
   evacuation_change apply(const evacuation_snapshot& received, absl::Time as_of,
                           absl::Time now);
 
-  /// Whether any state has been applied.
+  /// Whether any snapshot has been applied.
   bool known() const { return this->learned; }
   /// The latest time at which the halls are known to have been current.
   absl::Time verified_at() const { return this->last_verified; }
   absl::Duration age(absl::Time now) const { return now - this->last_verified; }
-  /// The state to send to other nodes, with its age at `now`.
+  /// The snapshot to send to other nodes, with its age at `now`.
   evacuation_snapshot snapshot(absl::Time now) const;
 
   /// Whether a hall must not receive requests, given that all changes of
--- a/src/evacuation-feed.h
+++ b/src/evacuation-feed.h
@@ -13,7 +13,7 @@
 
 namespace spokesail {
 
-/// Applies a state of the evacuations whose age counts back from `as_of`, and
+/// Applies an evacuation snapshot whose age counts back from `as_of`, and
 /// logs each change; `source` names the sender.
 void apply_evacuations(node_context& node, const evacuation_snapshot& snapshot,
                        absl::Time as_of, const std::string& source);
--- a/src/hall-evacuations.cc
+++ b/src/hall-evacuations.cc
@@ -1,4 +1,4 @@
-// Merging of evacuation states by revision, and the halls that they close.
+// Merging of evacuation snapshots by revision, and the halls that they close.
 #include "spokesail/hall-evacuations.h"
 
 #include <algorithm>
