--- a/include/spokesail/connection-share.h
+++ b/include/spokesail/connection-share.h
@@ -1,11 +1,11 @@
-// A node's part of the connections that a backend server takes.
+// Division of a backend server's connections among the nodes.
 #pragma once
 
 namespace spokesail {
 
-/// Connections that one of `nodes` may have to a server that takes
-/// `max_connections` from all callers together; one at least. A server that
-/// says nothing of a limit, 0, takes any number.
+/// Returns the maximum number of connections that each of `nodes` nodes may
+/// have to a server that accepts `max_connections` in total; at least 1. A
+/// `max_connections` of 0 means no limit.
 int connection_share(int max_connections, int nodes);
 
 }  // namespace spokesail
--- a/include/spokesail/crash-evidence.h
+++ b/include/spokesail/crash-evidence.h
@@ -1,5 +1,5 @@
-// What speaks for and against a request that it crashes the servers that run
-// it, as values that nodes can tell each other.
+// Evidence on whether a request crashes the servers that run it, as values that
+// nodes exchange and merge.
 #pragma once
 
 #include <absl/time/time.h>
@@ -13,56 +13,57 @@
 
 namespace spokesail {
 
-/// How far a run of a request came: the last event that it passed on, or one of
-/// these.
+/// The progress of an attempt to run a request: the index of the last event
+/// that was forwarded to the caller, or one of these values.
 namespace run_progress {
-/// Before its first event.
+/// No event was forwarded.
 constexpr int64_t start = -1;
-/// It was answered whole.
+/// The answer was complete.
 constexpr int64_t completed = std::numeric_limits<int64_t>::max();
 }  // namespace run_progress
 
-/// The end of a server under a request.
+/// A server that crashed while it had the request.
 struct server_crash {
-  /// How far the request had come.
+  /// Progress of the attempt at the time of the crash.
   int64_t point = run_progress::start;
-  /// Whether the server had begun to answer. If not, the request may just have
-  /// waited there.
+  /// Whether the server had begun to answer. If not, the request may only have
+  /// been queued there.
   bool begun = false;
-  /// Whether the request was sent there after a server had ended under it.
-  /// Servers that fail at the same moment have a cause in common, which need
-  /// not be the request that many callers send to all of them.
+  /// Whether the request was sent to the server after another server had
+  /// crashed under it. Servers that fail at the same time have a common cause,
+  /// which need not be the request even if callers sent it to all of them.
   bool repeated = false;
   auto operator<=>(const server_crash&) const = default;
 };
 
-/// All that is known of one request. Several nodes' knowledge is merged in any
-/// order and any number of times, with the same result.
+/// The evidence on one request. Merging is commutative, associative and
+/// idempotent, so nodes can merge in any order and any number of times.
 struct crash_evidence {
-  /// Ends of servers that are kept of one request: enough for it to stand out
-  /// among those that ran beside it.
+  /// Maximum number of crashes that are kept: enough to tell the request apart
+  /// from those that ran on the same servers.
   static constexpr size_t max_crashes = 16;
 
-  /// Starts of servers that ended under the request. One server counts once,
-  /// however many runs it had.
+  /// Crashes by hash of the server instance. An instance counts once, however
+  /// many attempts it received.
   std::map<uint64_t, server_crash> crashes;
-  /// How far any run came. Servers that ended earlier in the request did not
-  /// end because of it: this run got past that point.
+  /// Furthest progress of any attempt. The request did not cause crashes at an
+  /// earlier event, since this attempt got past it.
   int64_t passed = run_progress::start;
   bool operator==(const crash_evidence&) const = default;
 };
 
-/// Drops the ends of servers that the request has since run past.
+/// Removes the crashes at events that an attempt has got past, and those above
+/// the maximum.
 void normalize(crash_evidence& evidence);
 
-/// What two nodes know together.
+/// Combines the evidence of two nodes.
 crash_evidence merge(const crash_evidence& a, const crash_evidence& b);
 
-/// What a node tells others of one request.
+/// Evidence on one request as sent to other nodes.
 struct crash_update {
   request_identity identity;
   crash_evidence evidence;
-  /// Time since a server last ended under it.
+  /// Time since the last crash or progress.
   absl::Duration age = absl::ZeroDuration();
   bool operator==(const crash_update&) const = default;
 };
--- a/include/spokesail/crash-spread.h
+++ b/include/spokesail/crash-spread.h
@@ -1,4 +1,5 @@
-// To whom a node tells what it knows of requests that crash servers.
+// Selects the evidence on crashing requests to gossip and the nodes to send it
+// to.
 #pragma once
 
 #include <map>
@@ -11,31 +12,34 @@
 
 namespace spokesail {
 
-/// Spreads what a ledger learns: each node passes what is new to it on to a few
-/// others drawn at random, for some rounds, so that a lost message, a node that
-/// falls or one that nobody lists makes no difference. In virtual time, one
-/// packet in ten lost, all of 295 nodes know after 11 rounds at most (20 seeds)
-/// for 51 messages from each; told to two in each round, after 18 for 35.
+/// Push gossip of crash evidence: in each of several rounds, a node sends the
+/// evidence that is new to it to a few random peers, so that lost messages,
+/// failed nodes and incomplete peer lists do not stop the propagation. In a
+/// simulation with one packet in ten lost (20 seeds), all of 295 nodes know
+/// after at most 11 rounds, with 51 messages per node; with a fanout of two,
+/// after 18 rounds with 35 messages.
 ///
-/// A request under which one server ended is told only to a few nodes that all
-/// choose alike, which see when another node tells of a second: when a group
-/// crashes, nearly all of its requests are such.
+/// Requests with a single crash are sent only to a few collectors, which all
+/// nodes choose alike by hashing, so that a collector sees when another node
+/// reports a second crash. This keeps the traffic low when a group crashes:
+/// nearly all of its requests then have a single crash.
 ///
-/// Nothing here sends or waits.
+/// Does no I/O and does not wait.
 class crash_spread {
  public:
-  /// Nodes told in one round.
+  /// Messages per round, each to a random peer.
   static constexpr size_t fanout = 3;
-  /// Rounds in which a node passes something on, beside one for each doubling
-  /// of the fleet.
+  /// Rounds in which evidence is sent, in addition to the bit width of the
+  /// number of peers.
   static constexpr int base_rounds = 4;
-  /// Nodes that are told of a single crash, and in how many rounds.
+  /// Number of collectors of a request with a single crash.
   static constexpr size_t collectors = 3;
+  /// Rounds in which evidence is sent to the collectors.
   static constexpr int collector_rounds = 2;
-  /// Requests in one message: less than 8 KB.
+  /// Maximum number of requests in a message, which keeps it below 8 KB.
   static constexpr size_t max_updates = 60;
 
-  /// A message to another node.
+  /// Evidence to send to one peer.
   struct message {
     std::string peer;
     std::vector<crash_update> news;
@@ -44,29 +48,29 @@
 
   explicit crash_spread(std::string self) : self(std::move(self)) {}
 
-  /// What to send in this round, with `peers` known to live. Takes the
-  /// ledger's changes.
+  /// Returns the messages of the next round to `peers`, the nodes known to be
+  /// alive. Consumes the changes recorded in `ledger`.
   std::vector<message> next_round(crash_tracker& ledger,
                                   const std::vector<std::string>& peers,
                                   random_stream& random, absl::Time now);
 
  private:
-  /// Notes what has changed, to be passed on from now on.
+  /// Adds the changed requests to those that are sent.
   void queue_changes(crash_tracker& ledger, size_t nodes);
-  /// What to tell all nodes.
+  /// Messages to random peers, meant for all nodes.
   std::vector<message> broadcast_messages(const crash_tracker& ledger,
                                           const std::vector<std::string>& peers,
                                           random_stream& random,
                                           absl::Time now);
-  /// What to tell the collectors of each request alone.
+  /// Messages to the collectors of each request.
   std::vector<message> collector_messages(const crash_tracker& ledger,
                                           const std::vector<std::string>& peers,
                                           absl::Time now);
 
   std::string self;
-  /// Requests that all nodes are told of, also once they are cleared.
+  /// Requests whose evidence goes to all nodes, also once they are cleared.
   std::set<request_identity> broadcast;
-  /// Rounds that are left, by request.
+  /// Remaining rounds by request.
   std::map<request_identity, int> rounds_left;
 };
 
--- a/include/spokesail/crash-tracker.h
+++ b/include/spokesail/crash-tracker.h
@@ -1,4 +1,4 @@
-// Which requests crash the servers that run them, as far as one node knows.
+// Detects requests that crash the servers that run them.
 #pragma once
 
 #include <absl/time/time.h>
@@ -14,96 +14,101 @@
 
 namespace spokesail {
 
-/// Stands for one start of a server.
+/// Hash of a server instance.
 uint64_t incarnation_hash(const std::string& server, int64_t incarnation);
 
-/// Counts the servers that ended under each request, and quarantines a request
-/// once so many did that it must be the cause. Times are the caller's; nothing
-/// here waits or sends.
+/// Counts the servers that crashed under each request, and quarantines a
+/// request once there are enough crashes that it must be the cause. Does no I/O
+/// and does not wait; callers pass the time.
 ///
-/// A group runs many requests when it crashes and only one is guilty, and
-/// servers end for causes of their own, so that three things clear a request: a
-/// run that got further than where servers ended, a whole answer, and another
-/// request that ran on the same servers and on more that ended. Those that
-/// waited at a server count less than those that it had begun to answer.
+/// A group that crashes runs many requests, of which only one is the cause,
+/// and servers also crash for other reasons. So three things clear a request:
+/// an attempt that got further than the event at which servers crashed, a
+/// complete answer, and another request that ran on the same servers and under
+/// which more servers crashed. A crash counts for less if the server had not
+/// begun to answer the request.
 ///
-/// In virtual time (200 days of 35 s, 9 nodes, 12 groups of which one crashes
-/// every 1.7 s and two in five at once, no guilty request), a plain count of
-/// three ends refuses 1,691 of 1.4 million requests, three ends that no run got
-/// past 9, and this none.
+/// In a simulation without any crashing request (200 days of 35 s, 9 nodes, 12
+/// groups of which one crashes every 1.7 s and two in five crash together),
+/// quarantine after a plain count of three crashes refuses 1,691 of 1.4 million
+/// requests, after three crashes that no attempt got past 9, and this class
+/// none.
 class crash_tracker {
  public:
-  /// Servers that have to end under a request that they had begun to answer.
-  /// Two is what a caller's attempt may meet by chance while hosts fail one
-  /// after the other.
+  /// Number of crashes that quarantine a request, counting only servers that
+  /// had begun to answer it. The attempts for one request of a caller can meet
+  /// two crashes by chance while hosts fail one after the other.
   static constexpr size_t begun_crash_threshold = 3;
-  /// Servers that have to end under it if some had not begun. Both attempts of
-  /// a caller that tries again may meet three by chance.
+  /// Number of crashes that quarantine a request, counting all servers. If the
+  /// caller sends its request again, the attempts for both can meet three
+  /// crashes by chance.
   static constexpr size_t crash_threshold = 4;
-  /// How many of them it has to have been sent to after another had ended.
-  /// Without this, groups that crash at once would have requests with one and
-  /// the same content refused.
+  /// Minimum number of crashes in attempts that were sent after an earlier
+  /// crash. Without it, groups that crash at the same time would quarantine
+  /// requests with the same content that were sent to all of them.
   static constexpr size_t repeated_crash_threshold = 2;
-  /// A request is remembered for this long after a server last ended under it,
-  /// or it passed. Long enough for callers that come back after minutes; a
-  /// release may have mended what it ran into.
+  /// Time for which a request is kept after the last crash or progress. Long
+  /// enough for callers that retry after minutes; not longer, since a release
+  /// may have fixed the cause of the crashes.
   static constexpr absl::Duration retention = absl::Minutes(30);
-  /// Requests that are remembered at most, 1 KB each or less.
+  /// Maximum number of requests that are kept, each of at most 1 KB.
   static constexpr size_t max_requests = 8192;
-  /// The part of them that may belong to one workspace, so that none can push
-  /// out what is known of the others' requests.
+  /// A workspace can have this fraction of them (1/4), so that it cannot evict
+  /// all requests of the others.
   static constexpr size_t workspace_divisor = 4;
 
-  /// Takes note that a server ended under a request.
+  /// Records that a server crashed under a request.
   void add_crash(const request_identity& request, uint64_t server,
                  const server_crash& end, absl::Time now);
 
-  /// Takes note that a run got so far. Requests under which no server ended
-  /// are not remembered by it.
+  /// Records the progress of an attempt. Ignored for requests without a crash.
   void add_progress(const request_identity& request, int64_t point,
                     absl::Time now);
 
-  /// Takes what another node knows of a request.
+  /// Merges the evidence of another node.
   void take(const crash_update& said, absl::Time now);
 
-  /// Whether a request is not to be sent to any server.
+  /// Whether a request must not be sent to any server.
   bool quarantined(const request_identity& request) const;
 
-  /// How long a request stays quarantined if nothing clears it.
+  /// Time for which a request stays quarantined if nothing clears it.
   absl::Duration remaining(const request_identity& request,
                            absl::Time now) const;
 
-  /// Servers that ended under a request, as it counts by itself.
+  /// Number of servers that crashed under a request, including those that
+  /// another request explains.
   size_t count(const request_identity& request) const;
 
-  /// Whether a request is remembered.
+  /// Whether there is evidence on a request.
   bool contains(const request_identity& request) const {
     return this->records.count(request) != 0;
   }
 
-  /// Whether one more server that ends can quarantine a request.
+  /// Whether one more crash can quarantine a request.
   bool suspected(const request_identity& request) const {
     return this->count(request) + 1 >= begun_crash_threshold;
   }
 
-  /// What to tell of a request; nothing if it is not remembered.
+  /// The evidence on a request, to be sent to other nodes; nothing if there is
+  /// none.
   std::optional<crash_update> tell(const request_identity& request,
                                    absl::Time now) const;
 
-  /// All requests under which enough servers ended, whether or not others
-  /// explain it, in order.
+  /// All requests with enough crashes to be quarantined, including those whose
+  /// crashes another request explains.
   const std::set<request_identity>& requests_over_threshold() const {
     return this->over_threshold;
   }
 
-  /// A hash of these, the same on all nodes that know the same.
+  /// A hash of the identities of these requests, for the comparison with other
+  /// nodes.
   uint64_t digest() const;
 
-  /// Requests that this node has learned something of, or knows better than
-  /// one that told it, since this was last asked.
+  /// Returns and clears the set of requests whose evidence has changed, or for
+  /// which another node sent less evidence than is known here.
   std::vector<request_identity> take_changes();
 
-  /// Forgets what is too old.
+  /// Removes the requests whose retention time is over.
   void expire(absl::Time now);
 
   bool empty() const { return this->records.empty(); }
@@ -112,23 +117,26 @@
  private:
   struct record {
     crash_evidence evidence;
+    /// Time of the last crash or progress.
     absl::Time updated_at = absl::InfinitePast();
   };
-  /// Replaces what is known of a request.
+  /// Inserts or replaces the record of a request.
   void store_record(const request_identity& request, record next);
-  /// Makes room for one more request of a workspace.
+  /// Evicts records so that one more of a workspace fits.
   void evict_if_full(uint64_t workspace);
-  /// Drops the request of a workspace that matters least.
+  /// Evicts the record of a workspace with the fewest crashes, and of these the
+  /// oldest.
   void evict_least(uint64_t workspace);
-  /// Whether so many servers ended that a request may be quarantined.
+  /// Whether there are enough crashes to quarantine a request.
   static bool reaches_threshold(const crash_evidence& evidence);
-  /// Whether a request whose count is greater ran on the server too.
+  /// Whether a request with more crashes also ran on the server.
   bool explained_by_other(const request_identity& request,
                           uint64_t server) const;
 
   std::map<request_identity, record> records;
-  /// Remembered requests by workspace.
+  /// Number of records by workspace.
   std::map<uint64_t, size_t> by_workspace;
+  /// Requests with enough crashes to be quarantined.
   std::set<request_identity> over_threshold;
   std::set<request_identity> changes;
 };
--- a/include/spokesail/fleet-size.h
+++ b/include/spokesail/fleet-size.h
@@ -1,4 +1,4 @@
-// How many nodes share what the fleet may do in all.
+// Number of nodes among which fleet-wide limits are divided.
 #pragma once
 
 #include <absl/time/time.h>
@@ -8,19 +8,19 @@
 
 namespace spokesail {
 
-/// Remembers the most nodes that lived at one time. A node that falls silent
-/// may be cut off and still act, so that nobody's part of a common limit may
-/// grow as soon as others are not heard.
+/// Sliding-window maximum of the number of live nodes. A node that is no longer
+/// heard from may be partitioned and still send requests, so the other nodes
+/// must not enlarge their shares of a common limit at once.
 class peak_fleet_size {
  public:
-  /// Counts are kept for this long: regions may lose each other for an hour.
+  /// Length of the window. Regions may be partitioned for an hour.
   static constexpr absl::Duration retention = absl::Hours(2);
 
-  /// Takes note of the nodes that live, this one included.
+  /// Records the number of live nodes, including this one.
   void note(int nodes, absl::Time now);
 
-  /// The most nodes that lived within the memory, or at the last count if that
-  /// is older; nothing before the first.
+  /// Returns the maximum within the window, or the last count if it is older
+  /// than the window; nothing before the first count.
   std::optional<int> most(absl::Time now);
 
  private:
@@ -28,7 +28,8 @@
     int nodes = 0;
     absl::Time at;
   };
-  /// Falling counts, each with the last time at which as many lived.
+  /// Monotonic queue: decreasing counts, each with the last time at which at
+  /// least as many nodes were alive.
   std::deque<count> counts;
 };
 
--- a/include/spokesail/grant-issuer.h
+++ b/include/spokesail/grant-issuer.h
@@ -1,5 +1,5 @@
-// Grants by the lease holder of requests to servers that are cold or advertise
-// a rate limit.
+// Issues grants for servers that are cold or advertise a rate limit. Used by
+// the lease holder.
 #pragma once
 
 #include <absl/time/time.h>
@@ -13,71 +13,75 @@
 
 namespace spokesail {
 
-/// A bucket of requests that fills with time.
+/// Parameters of a token bucket; a token is one request.
 struct token_bucket_params {
-  /// Requests that it holds at most.
+  /// Capacity in requests.
   double burst = 0;
-  /// Requests by which it fills in a second.
+  /// Refill rate in requests per second.
   double per_s = 0;
   bool operator==(const token_bucket_params&) const = default;
 };
 
-/// The bucket whose grants, each used within `grant_lifetime`, come to at most
-/// `rate` requests in any second; it never gives any for a rate below one.
+/// The bucket for a cold server that can serve `rate` requests per second. If
+/// each grant is used within `grant_lifetime`, at most `rate` requests are sent
+/// in any second. For a rate below 1 the bucket is empty: it issues no grants.
 token_bucket_params bucket_for_cold_rate(double rate,
                                          absl::Duration grant_lifetime);
 
 /// The bucket for a server that advertises a limit of `per_s` requests per
 /// second, less the fraction that nodes use without a grant. The rate has a
-/// positive minimum, even for a limit of 0: only an answer from the server
-/// shows that its limit has ended.
+/// positive minimum, even for a limit of 0: the end of a limit shows only in
+/// an answer of the server, so some requests must still be sent.
 token_bucket_params bucket_for_limit(double per_s);
 
-/// The bucket with the lower burst and the lower rate of the two.
+/// Returns the lower burst and the lower rate of the two.
 token_bucket_params smaller_bucket(const token_bucket_params& a,
                                    const token_bucket_params& b);
 
-/// One holder's ledger. It goes by the servers' ids, since grants for an
-/// earlier start of a server may be used on the next.
+/// Token buckets from which a lease holder issues grants. There is one bucket
+/// per server id, not per incarnation, since a grant that was issued before a
+/// restart of the server may be used after it. Does no I/O and does not wait.
 class grant_issuer {
  public:
-  /// Servers that it keeps count of at once; it grants nothing for others.
+  /// Maximum number of servers with a bucket; others get no grants.
   static constexpr size_t max_servers = 4096;
 
   explicit grant_issuer(grant_timing timing = {}) : timing(timing) {}
 
-  /// Begins anew: this node holds the lease since `now`.
+  /// Resets the buckets; this node acquired the lease at `now`.
   void begin_term(absl::Time now);
-  /// Grants nothing any more: this node holds the lease no longer.
+  /// Stops granting; this node no longer holds the lease.
   void end_term();
-  /// Whether the term is old enough for grants.
+  /// Whether all grants of the previous lease holder have expired.
   bool may_grant(absl::Time now) const;
-  /// How long this node has held the lease.
+  /// Time since this node acquired the lease.
   absl::Duration term_age(absl::Time now) const {
     return now - this->term_begin;
   }
 
-  /// Grants what may be sent of what is wanted. `bucket_of` returns the bucket
-  /// of a server; nothing is granted if its burst is below 1.
+  /// Grants as many of the requested requests as there are whole tokens.
+  /// `bucket_of` returns the bucket parameters of a server; nothing is granted
+  /// if the burst is below 1.
   grant_response answer(
       const grant_request& asked,
       const std::function<token_bucket_params(const server_request_count&)>&
           bucket_of,
       absl::Time now);
 
-  /// Drops servers whose buckets are full again.
+  /// Removes the buckets that are full again.
   void remove_full(absl::Time now);
 
   size_t size() const { return this->buckets.size(); }
 
  private:
-  /// A server's bucket.
+  /// The token bucket of a server.
   struct bucket_state {
     token_bucket_params bucket;
     double tokens = 0;
     absl::Time refilled_at;
   };
-  /// A server's account, filled up to `now`; null if there are too many.
+  /// Returns a server's bucket, refilled up to `now` and created if missing;
+  /// null if there are too many.
   bucket_state* find(const std::string& server,
                      const token_bucket_params& bucket, absl::Time now);
   static void refill(bucket_state& a, absl::Time now);
--- a/include/spokesail/grant-messages.h
+++ b/include/spokesail/grant-messages.h
@@ -1,4 +1,5 @@
-// Messages that request and grant sends to servers with limited rates.
+// Messages that request and issue grants for servers that are cold or advertise
+// a rate limit.
 #pragma once
 
 #include <cstdint>
@@ -9,30 +10,32 @@
 
 namespace spokesail {
 
-/// A number of requests to one start of a server.
+/// A number of requests to a server instance.
 struct server_request_count {
   std::string server;
-  /// Tells the starts of one id apart; 0 if it is not known.
+  /// Distinguishes restarts under the same id; 0 if unknown.
   int64_t incarnation = 0;
   int count = 0;
   bool operator==(const server_request_count&) const = default;
 };
 
-/// Asks the holder of the lease for requests that may be sent.
+/// Requests grants from the lease holder.
 struct grant_request {
-  /// Given back with the answer, so that its time counts from the question.
+  /// Returned in the response, so that the sender can count the lifetime of the
+  /// grants from its request.
   uint64_t nonce = 0;
+  /// Number of requests that the sender has demand for, by server.
   std::vector<server_request_count> wanted;
   /// The sender's state of these servers' rate limits.
   std::vector<limit_report> limits = {};
   bool operator==(const grant_request&) const = default;
 };
 
-/// What the holder grants, for a fixed time from the question on.
+/// Grants requests for a fixed time after the grant request.
 struct grant_response {
   uint64_t nonce = 0;
   std::vector<server_request_count> granted;
-  /// Limits for which the holder's state is newer than the asker's.
+  /// Rate limits for which the lease holder has newer state than the requester.
   std::vector<limit_report> limits = {};
   bool operator==(const grant_response&) const = default;
 };
--- a/include/spokesail/grant-timing.h
+++ b/include/spokesail/grant-timing.h
@@ -1,21 +1,23 @@
-// How long grants of requests to cold servers hold.
+// Times of the grants for cold and rate-limited servers.
 #pragma once
 
 #include <absl/time/time.h>
 
 namespace spokesail {
 
-/// Times that the holder of the lease and the nodes that ask it agree on.
+/// Must be the same on the lease holder and on the nodes that request grants.
 struct grant_timing {
-  /// A grant may be used for this long after it was asked for.
+  /// Lifetime of a grant, from the time at which it was requested.
   absl::Duration grant_lifetime = absl::Milliseconds(500);
-  /// A new holder grants nothing for this long: grants of the one before have
-  /// ended, and clocks may run apart a little.
+  /// A new lease holder issues no grants for this long, so that the grants of
+  /// its predecessor have expired. Longer than the lifetime of a grant, to
+  /// allow for clock drift.
   absl::Duration new_term_delay = absl::Milliseconds(600);
-  /// Shortest time between a node's questions.
+  /// Shortest interval between the grant requests of a node.
   absl::Duration min_request_interval = absl::Milliseconds(100);
-  /// Longest time between them: it doubles with each question that granted
-  /// nothing, so that many nodes that ask for little do not drown the holder.
+  /// Longest interval. The interval doubles after each grant request that
+  /// yielded no grant, so that many nodes with little demand do not overload
+  /// the lease holder.
   absl::Duration max_request_interval = absl::Milliseconds(800);
   bool operator==(const grant_timing&) const = default;
 };
--- a/include/spokesail/limit-share.h
+++ b/include/spokesail/limit-share.h
@@ -15,8 +15,9 @@
 /// Divides a fixed fraction of each server's limit evenly among the nodes, so
 /// that requests can be sent without a lease holder and during network
 /// partitions. A node's share can be far less than one request per second, so
-/// it is issued as slots at a fixed interval with a random initial offset.
-/// Unused slots expire and do not accumulate.
+/// it is issued as slots at a fixed interval. A random initial offset keeps the
+/// nodes from sending at the same time. Unused slots expire and do not
+/// accumulate. Does no I/O and does not wait.
 class limit_share {
  public:
   /// Fraction of a limit that is divided among the nodes; the lease holder
@@ -37,6 +38,7 @@
   void forget(const std::function<bool(const server_instance&)>& exists);
 
  private:
+  /// The slots of one server.
   struct slots {
     /// Start of the next slot.
     absl::Time next;
--- a/include/spokesail/limit-spread.h
+++ b/include/spokesail/limit-spread.h
@@ -30,8 +30,8 @@
     bool operator==(const message&) const = default;
   };
 
-  /// Returns the messages of the next round to `peers`. Consumes the
-  /// changes recorded in `limits`.
+  /// Returns the messages of the next round to `peers`. Consumes the changes
+  /// recorded in `limits`.
   std::vector<message> next_round(server_limits& limits,
                                   const std::vector<std::string>& peers,
                                   random_stream& random, absl::Time now);
--- a/src/connection-share.cc
+++ b/src/connection-share.cc
@@ -1,4 +1,3 @@
-// The division of a server's connections among nodes.
 #include "spokesail/connection-share.h"
 
 #include <algorithm>
@@ -7,8 +6,9 @@
 namespace spokesail {
 namespace {
 
-/// Part of the connections that nodes divide among themselves; the rest is for
-/// orders, reports, and nodes that others have not heard of yet.
+/// Fraction of the connections that is divided among the nodes. The rest is
+/// reserved for control orders, load reports, and nodes that the others do not
+/// know of yet.
 constexpr double divided_share = 0.9;
 
 }  // namespace
--- a/src/crash-check.cc
+++ b/src/crash-check.cc
@@ -8,11 +8,12 @@
 namespace net = boost::asio;
 namespace http = boost::beast::http;
 
-/// A server that has no answer after this long is taken to have ended: it
-/// answers in a few milliseconds.
+/// A server that has not answered a probe after this time counts as crashed. A
+/// live server answers within a few milliseconds.
 constexpr absl::Duration answer_limit = absl::Milliseconds(90);
 
-/// What a server says to a request that expects another in its place.
+/// Status with which a server answers a request that expects another server at
+/// its address.
 constexpr auto another_server = http::status::misdirected_request;
 
 enum class server_state { lives, ended, unknown };
@@ -33,7 +34,7 @@
       node.adapter.write_report_request(endpoint.server);
   fetch_result result =
       co_await node.fetcher.fetch(endpoint.address, request, answer_limit);
-  // A kept connection may just have been closed by its server.
+  // Retries once, since the server may just have closed a pooled connection.
   if (result.status == fetch_status::no_answer) {
     result =
         co_await node.fetcher.fetch(endpoint.address, request, answer_limit);
@@ -41,7 +42,8 @@
   if (result.status == fetch_status::ok) {
     co_return judge(node, endpoint, result.response);
   }
-  // The answer may have waited for this node's own loop.
+  // If this node's event loop was blocked for as long, the answer may have
+  // arrived in time without being read.
   co_return node.loop_delay >= answer_limit ? server_state::unknown
                                             : server_state::ended;
 }
--- a/src/crash-check.h
+++ b/src/crash-check.h
@@ -1,4 +1,4 @@
-// Finds out whether a server ended under a request.
+// Checks whether a server crashed under a request.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -10,20 +10,22 @@
 
 namespace spokesail {
 
-/// A run whose server broke off, or whose group fell silent.
+/// An attempt whose server closed the connection early or whose group became
+/// unresponsive.
 struct lost_run {
   request_identity request;
   endpoint_target endpoint;
-  /// How the request stood when it was lost.
+  /// State of the attempt when it was lost.
   server_crash end;
-  /// A member of the group that was found not to answer; empty if none was.
+  /// A member of the group that did not respond; empty if none is known.
   std::string unresponsive_member;
 };
 
-/// Asks the run's server whether it lives. If it does not, or has started anew,
-/// this is held against the request in the node's ledger: a connection that
-/// breaks proves nothing by itself. Only that server, or the silent member, is
-/// taken for the one that ended.
+/// Probes the server of a lost attempt and records a crash under the request if
+/// the server does not answer or has restarted. The probe is needed because a
+/// broken connection alone does not show that the server crashed. If a member
+/// of the group is known to be unresponsive, its crash is recorded instead,
+/// without a probe. No other member of the group is recorded.
 boost::asio::awaitable<void> check_crash(node_context& node, lost_run run);
 
 }  // namespace spokesail
--- a/src/crash-evidence.cc
+++ b/src/crash-evidence.cc
@@ -19,7 +19,8 @@
   out.passed = std::max(a.passed, b.passed);
   for (const auto& [server, end] : b.crashes) {
     server_crash& known = out.crashes.try_emplace(server, end).first->second;
-    // As one value: of parts taken from two ends, one may since be refuted.
+    // Takes the larger as a whole. A combination of fields could keep a field
+    // of a crash that progress refutes, and depend on the order of merges.
     known = std::max(known, end);
   }
   normalize(out);
--- a/src/crash-gossip.cc
+++ b/src/crash-gossip.cc
@@ -7,14 +7,14 @@
 
 namespace net = boost::asio;
 
-/// Period of the rounds in which news is passed on: eleven of them, which a
-/// fleet of 295 nodes needs, stay below half of the three seconds that
-/// platforms give nodes to know.
+/// Period of the gossip rounds. A fleet of 295 nodes needs eleven rounds, which
+/// take less than half of the three seconds that platforms give all nodes to
+/// learn of a crashing request.
 constexpr absl::Duration round_period = absl::Milliseconds(100);
 
-/// How often a node asks another whether it knows the same. Three questions fit
-/// into the three seconds that a node has once it is no longer cut off, and
-/// each costs some hundred bytes.
+/// Period of the digest comparisons. Three of them fit into the three seconds
+/// that a node has to catch up after a network partition; each costs about a
+/// hundred bytes.
 constexpr absl::Duration ask_period = absl::Seconds(1);
 
 }  // namespace
--- a/src/crash-gossip.h
+++ b/src/crash-gossip.h
@@ -1,4 +1,4 @@
-// Tells other nodes of requests that crash servers, and hears of them.
+// Exchanges evidence on requests that crash servers with other nodes.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -10,35 +10,38 @@
 
 namespace spokesail {
 
-/// Passes what this node learns on, and asks others now and then whether they
-/// know the same: at once after a start or a suspension, and again and again
-/// for nodes that were cut off while others counted.
+/// Gossips new evidence, and periodically compares digests with a random peer
+/// (anti-entropy). The comparison updates a node that has restarted, was
+/// suspended, or was partitioned while others recorded crashes.
 class crash_gossip {
  public:
   crash_gossip(node_context& node, peer_link& link)
       : node(node), link(link), spread(node.settings.node) {}
 
-  /// Tells and asks until the process ends.
+  /// Sends gossip and digests until the process ends.
   boost::asio::awaitable<void> run();
 
-  /// Takes what a peer says.
+  /// Handles a report from a peer: merges its evidence, or answers its digest.
   void take(const std::string& peer, const crash_report& said);
 
  private:
+  /// Sends the gossip messages of one round.
   void tell(const std::vector<std::string>& peers, absl::Time now);
-  /// Asks one peer, if it is time to.
+  /// Sends the digest to a random peer if the period is over.
   void ask(const std::vector<std::string>& peers, absl::Time now);
-  /// Sends a peer all that is proved.
+  /// Sends a peer the evidence on all requests with enough crashes.
   void answer(const std::string& peer, absl::Time now);
-  /// Writes down which requests have come into quarantine, or out of it.
+  /// Logs which requests have entered or left quarantine.
   void log_quarantine_changes(absl::Time now);
 
   node_context& node;
   peer_link& link;
   crash_spread spread;
+  /// When the digest was last sent.
   absl::Time digest_sent_at = absl::InfinitePast();
   /// Whether a peer has answered since this node started.
   bool has_synced = false;
+  /// Requests in quarantine when they were last logged.
   std::set<request_identity> quarantined;
 };
 
--- a/src/crash-tracker.cc
+++ b/src/crash-tracker.cc
@@ -32,7 +32,8 @@
   next.evidence = merge(known.evidence, said.evidence);
   next.updated_at = std::max(known.updated_at, now - said.age);
   if (now - next.updated_at >= retention) return;
-  // One that says less than is known here is told, too.
+  // A node that sent less evidence than is known here gets the rest with the
+  // changes.
   crash_evidence heard = said.evidence;
   normalize(heard);
   if (next.evidence == known.evidence && heard == known.evidence) return;
@@ -105,8 +106,9 @@
 bool crash_tracker::quarantined(const request_identity& request) const {
   if (this->over_threshold.count(request) == 0) return false;
   crash_evidence own = this->records.at(request).evidence;
-  // What a server had begun to answer is not explained by another request: few
-  // are at that point at the same moment, and two may be guilty.
+  // Ignores crashes that another request explains, unless the server had begun
+  // to answer this one: few requests are at that stage at the same time, and
+  // two requests may both be the cause of crashes.
   std::erase_if(own.crashes, [&](const auto& crash) {
     return !crash.second.begun &&
            this->explained_by_other(request, crash.first);
--- a/src/fleet-size.cc
+++ b/src/fleet-size.cc
@@ -1,4 +1,3 @@
-// The most nodes that lived of late.
 #include "spokesail/fleet-size.h"
 
 namespace spokesail {
--- a/src/grant-client.cc
+++ b/src/grant-client.cc
@@ -48,7 +48,7 @@
   for (const server_request_count& granted : said.granted) {
     if (granted.count <= 0) continue;
     std::deque<grant_batch>& portions = this->grants[granted.server];
-    // Answers may come in another order than their questions were asked in.
+    // Responses can arrive out of order.
     const auto at =
         std::find_if(portions.begin(), portions.end(),
                      [&](const auto& p) { return p.until > until; });
--- a/src/grant-coordinator.cc
+++ b/src/grant-coordinator.cc
@@ -12,7 +12,7 @@
   return absl::StrCat(absl::ToInt64Milliseconds(time));
 }
 
-/// Servers with their requests, for logs.
+/// Formats servers and their numbers of requests for logs.
 std::string to_text(const std::vector<server_request_count>& counts) {
   return absl::StrJoin(counts, ",", [](std::string* out, const auto& c) {
     absl::StrAppend(out, c.server, ":", c.count);
@@ -65,7 +65,8 @@
 }
 
 void grant_coordinator::update_term(absl::Time now) {
-  // A lease that lapsed and was taken again has another fence.
+  // Compares fencing numbers, since the lease may have been lost and acquired
+  // again.
   const std::optional<int64_t> held = this->manager.holds()
                                           ? std::optional(this->manager.fence())
                                           : std::nullopt;
@@ -131,7 +132,7 @@
                                const grant_request& asked) {
   if (!this->manager.holds()) return;
   grant_response out = this->grant(peer, asked, this->node.now());
-  // Who hears nothing asks again.
+  // A node that gets no response sends another request.
   const bool has_content = !out.granted.empty() || !out.limits.empty();
   if (has_content) this->link.send(peer, std::move(out));
 }
--- a/src/grant-coordinator.h
+++ b/src/grant-coordinator.h
@@ -1,4 +1,5 @@
-// Requests and grants sends to servers that are cold or advertise a rate limit.
+// Requests and issues grants for servers that are cold or advertise a rate
+// limit.
 #pragma once
 
 #include <cstdint>
@@ -11,49 +12,52 @@
 
 namespace spokesail {
 
-/// Keeps requests to these servers within their rates: asks the lease holder
-/// for grants, and issues grants while this node is the holder.
+/// Keeps the combined load of all nodes on these servers within their rates.
+/// Requests grants from the lease holder, and issues grants while this node
+/// holds the lease.
 class grant_coordinator {
  public:
   grant_coordinator(node_context& node, peer_link& link, lease_manager& manager)
       : node(node), link(link), manager(manager), ledger(node.cold.times()) {}
 
-  /// Asks if it is time to, and drops what is over. To be called often: a
-  /// request may be waiting for the answer.
+  /// Sends a grant request if one is due and removes expired grants. Must be
+  /// called often, since callers' requests may be waiting for a grant.
   void step();
 
-  /// Answers a peer, if this node holds the lease and has something to grant.
+  /// Responds to a peer's grant request if this node holds the lease. Sends
+  /// nothing if there is neither a grant nor a newer rate limit to return.
   void answer(const std::string& peer, const grant_request& asked);
-  /// Takes what the holder grants.
+  /// Adds the grants and rate limits of a response from the lease holder.
   void take(const std::string& peer, const grant_response& said);
 
   void set_gauges() const;
 
  private:
-  /// Begins or ends the ledger's term with the lease.
+  /// Begins or ends the term for grants if the lease was acquired or lost.
   void update_term(absl::Time now);
   void ask(absl::Time now);
   grant_response grant(const std::string& peer, const grant_request& asked,
                        absl::Time now);
-  /// Requests a second that a server bears while it is cold; 0 if this node
-  /// does not know it.
+  /// Configured request rate of a server while it is cold, in requests per
+  /// second; 0 if the server or its service is unknown.
   double cold_rate_of(const std::string& server) const;
   /// The bucket for grants to a server, from its advertised limit and, while it
   /// is cold, its cold rate.
   token_bucket_params bucket_of(const server_request_count& wanted,
                                 absl::Time now) const;
-  /// Merges the asker's limit reports. Returns this node's state where it
-  /// differs.
+  /// Merges the limit reports of a peer. Returns this node's state of those
+  /// that differ.
   std::vector<limit_report> merge_limits(const std::vector<limit_report>& said,
                                          absl::Time now);
-  /// Servers that are cold by this node's news.
+  /// Number of cold servers in this node's directory.
   int count_cold() const;
 
   node_context& node;
   peer_link& link;
   lease_manager& manager;
   grant_issuer ledger;
-  /// Fence of the term that the ledger is in; nothing if it is in none.
+  /// Fencing number of the current term; nothing while another node holds the
+  /// lease.
   std::optional<int64_t> term;
 };
 
--- a/src/grant-issuer.cc
+++ b/src/grant-issuer.cc
@@ -8,14 +8,17 @@
 namespace spokesail {
 namespace {
 
-/// Grants are whole requests, so that a half more never becomes one.
+/// Added to the number of requests per window when the refill rate is computed.
+/// Only whole requests are granted, so half a request more never exceeds the
+/// rate.
 constexpr double rounding = 0.5;
 
-/// From this rate on a bucket holds two requests: nodes that ask at the same
-/// time need not wait for each other.
+/// From this rate on, in requests per second, the burst is two requests instead
+/// of one, so that nodes that request grants at the same time need not wait for
+/// each other.
 constexpr double rate_for_two = 8;
 
-/// Minimum rate of grants per second, however low the limit.
+/// Minimum rate of grants in requests per second, however low the limit.
 constexpr double least_grant_rate = 0.2;
 
 /// The burst of a limit's bucket is what the rate yields in this time, so that
@@ -74,7 +77,8 @@
   if (found == this->buckets.end()) {
     if (this->buckets.size() >= max_servers) this->remove_full(now);
     if (this->buckets.size() >= max_servers) return nullptr;
-    // It was empty when the term began: holders before may have emptied it.
+    // Assumes an empty bucket at the start of the term, since previous lease
+    // holders may have used all of its tokens.
     found = this->buckets.emplace(server, bucket_state{{}, 0, this->term_begin})
                 .first;
   }
--- a/test/cold-servers-test.cc
+++ b/test/cold-servers-test.cc
@@ -1,6 +1,7 @@
-// A whole hall returns cold: what all nodes together send to each of its
-// servers, in virtual time, with messages lost and late, halves cut off from
-// each other, holders that follow each other and nodes that start again.
+// Guards against overload of cold servers after a whole data hall has returned.
+// Simulates, in virtual time, the combined load of all nodes on each server,
+// with message loss and delay, network partitions, changes of the lease holder
+// and node restarts.
 #include <absl/strings/str_cat.h>
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -17,35 +18,36 @@
 const absl::Time start = absl::UnixEpoch();
 constexpr absl::Duration step = absl::Milliseconds(10);
 
-/// Longest time between two holders' terms.
+/// Longest time between the terms of two lease holders.
 constexpr absl::Duration longest_gap = absl::Seconds(1);
 
-/// A part that is left out, to show that the bound hangs on it.
+/// Mutations that disable one mechanism, to show that the bound depends on it.
 enum class mutant {
   none,
-  /// A grant's time counts from its receipt.
+  /// The lifetime of a grant counts from the receipt of the response.
   from_receipt,
-  /// A new holder grants at once, as if it had held the lease for long.
+  /// A new lease holder issues grants immediately.
   no_wait
 };
 
-/// What goes wrong in a run.
+/// Faults that are injected in a run.
 struct trouble {
+  /// Fraction of messages lost.
   double lost = 0;
-  /// Part of the messages that queues hold back; all that they hold go on at
-  /// once, every `late`.
+  /// Fraction of messages that are queued. The queues are flushed at the end of
+  /// every period of length `late`.
   double slow = 0;
   absl::Duration late = absl::ZeroDuration();
-  /// The longest term of a holder.
+  /// Maximum duration of a lease term.
   absl::Duration term = absl::Seconds(60);
-  /// Part of the nodes that start again in a second.
+  /// Fraction of nodes that restart per second.
   double restarts = 0;
-  /// Whether halves are cut off from each other now and then.
+  /// Whether the network partitions into halves at random times.
   bool splits = false;
 };
 
-/// Nodes under pressure: each would send ten requests a second to each cold
-/// server, many times what these bear.
+/// Simulated nodes, each with a demand of ten requests per second to each cold
+/// server. The total is many times the rate of the servers.
 class cold_fleet {
  public:
   cold_fleet(int nodes, double rate, trouble t, mutant m, uint64_t seed)
@@ -63,7 +65,7 @@
     while (this->now < until) this->advance();
   }
 
-  /// Most requests that one server got in one second.
+  /// Maximum number of requests that one server received within a second.
   int most_in_a_second() const {
     int most = 0;
     for (const auto& times : this->sent) {
@@ -138,7 +140,7 @@
     this->under_way.emplace(this->now + delay, std::move(m));
   }
 
-  /// Time until the queues let go.
+  /// Time until the next flush of the queues.
   absl::Duration held_back() const {
     if (this->faults.late == absl::ZeroDuration()) return this->faults.late;
     return this->faults.late - (this->now - start) % this->faults.late;
@@ -189,7 +191,8 @@
       n.ledger.end_term();
       if (i == this->holder) this->term_end = this->now;
     }
-    // Grants are held back now and then: what is unused is used at its end.
+    // Uses grants only in some steps, so that some are used just before they
+    // expire.
     const bool uses = this->random.unit() < 0.3;
     for (int s = 0; s < servers; ++s) {
       const std::string& name = this->names[static_cast<size_t>(s)];
@@ -284,20 +287,20 @@
   for (const int nodes : {83, 295, 400}) {
     cold_fleet fleet(nodes, 26, {}, mutant::none, 1);
     fleet.run(absl::Seconds(10));
-    // A third of the rate goes to the time of grants, a part of the rest
-    // lapses.
+    // The lifetime of grants takes up a third of the rate, and some of the rest
+    // expires unused.
     EXPECT_GT(fleet.total(), 26U * cold_fleet::servers * 9 / 2);
     const double seconds = absl::ToDoubleSeconds(fleet.now - start);
     RecordProperty(absl::StrCat("messages_per_s_at_", nodes),
                    absl::StrCat(static_cast<double>(fleet.messages) / seconds));
-    // A question each 0.8 s from each node, and some more from those that are
-    // granted something, with an answer to each.
+    // Each node sends a grant request every 0.8 s. Those that get grants send
+    // more, and each of these has a response.
     EXPECT_LE(static_cast<double>(fleet.messages) / seconds,
               nodes / 0.8 + 10 * 26 * cold_fleet::servers);
   }
 }
 
-/// Returns a function that gives every server the bucket for `rate`.
+/// Returns a function that returns the bucket for `rate` for every server.
 auto bucket_at(double rate) {
   return [rate](const server_request_count&) {
     return bucket_for_cold_rate(rate, grant_timing().grant_lifetime);
@@ -374,7 +377,7 @@
   const grant_response given{7, asked.wanted};
   const absl::Time heard = start + absl::Milliseconds(300);
   EXPECT_EQ(allowance.take(given, heard), 1);
-  EXPECT_EQ(allowance.take(given, heard), 0) << "an answer counts once";
+  EXPECT_EQ(allowance.take(given, heard), 0) << "response was accepted twice";
   EXPECT_TRUE(allowance.has("s", heard));
   EXPECT_FALSE(allowance.has("s", start + absl::Milliseconds(500)));
   EXPECT_EQ(allowance.use("s", heard), start + absl::Milliseconds(500));
--- a/test/cold-start-test.cc
+++ b/test/cold-start-test.cc
@@ -1,4 +1,5 @@
-// Nodes before servers that all say that they are cold.
+// Nodes in front of servers that all report that they are cold. Guards against
+// overload of cold servers and against refusals once they are warm.
 #include "node-fixture.h"
 #include "spokesail/grant-issuer.h"
 
@@ -20,8 +21,8 @@
     this->start(node_count);
   }
 
-  /// Has all engines say how much longer they are cold, and waits until all
-  /// nodes know.
+  /// Makes all engines report that they are cold for `left_ms` more, and waits
+  /// until all nodes know.
   void say_cold(int left_ms) {
     this->on_loop([=, this] { this->fleet->faults.cold_left_ms = left_ms; });
     ASSERT_TRUE(
@@ -85,7 +86,7 @@
     EXPECT_NE(answer.find(http::field::retry_after), answer.end());
     return;
   }
-  FAIL() << "none was refused";
+  FAIL() << "no request was refused";
 }
 
 TEST_F(cold_start_test, nothing_is_sent_while_nobody_holds_the_lease) {
--- a/test/connection-share-test.cc
+++ b/test/connection-share-test.cc
@@ -1,5 +1,5 @@
-// Many nodes before one server: their connections together stay within what
-// it takes.
+// Guards against a total of connections from all nodes above the limit of a
+// server.
 #include "spokesail/connection-share.h"
 
 #include <gtest/gtest.h>
@@ -16,14 +16,14 @@
   EXPECT_EQ(connection_share(51, 400), 1);
 }
 
-/// Load: every node has as many connections to one server as it may.
+/// Every node opens as many connections to one server as it may.
 RC_GTEST_PROP(connection_share, all_nodes_together_stay_within_the_limit, ()) {
   const int most = *rc::gen::inRange(2, 2000);
   const int nodes = *rc::gen::inRange(1, most);
   RC_ASSERT(connection_share(most, nodes) * nodes <= most);
 }
 
-/// Load: the same while a tenth of the nodes has not been heard of.
+/// The same while the nodes do not know of a tenth of them yet.
 RC_GTEST_PROP(connection_share, a_few_unknown_nodes_do_not_break_it, ()) {
   const int nodes = *rc::gen::inRange(10, 400);
   const int most = *rc::gen::inRange(2 * nodes, 20 * nodes);
--- a/test/crash-fleet-test.cc
+++ b/test/crash-fleet-test.cc
@@ -1,6 +1,7 @@
-// Days of a fleet in virtual time on which groups crash: with a request that
-// crashes each group that runs it, and without one. What becomes of the
-// innocent requests beside it, and what the guilty one costs.
+// Guards against quarantine of requests that did not cause any crash, and
+// against late quarantine of those that did. Simulates a fleet whose groups
+// crash, in virtual time, with and without requests that crash each group that
+// runs them.
 #include <absl/strings/str_cat.h>
 #include <gtest/gtest.h>
 
@@ -20,7 +21,7 @@
 constexpr absl::Duration event_period = absl::Milliseconds(70);
 constexpr absl::Duration usual_first = absl::Milliseconds(200);
 constexpr absl::Duration crash_delay = absl::Milliseconds(60);
-/// Innocent requests: 200 a second.
+/// Innocent requests: 200 per second.
 constexpr int arrivals_per_step = 2;
 constexpr int sends_per_attempt = 2;
 constexpr int attempts = 2;
@@ -29,20 +30,22 @@
   int nodes = 9;
   int groups = 12;
 
-  /// Attempts of the guilty requests, of which there are so many.
+  /// Attempts per second of all guilty requests together.
   double guilty_per_s = 0;
+  /// Number of different guilty requests.
   int guilty = 1;
-  /// Crashes of single groups, and a part of all groups at second 15.
+  /// Crashes of single groups per second.
   double crashes_per_s = 0.3;
+  /// Fraction of the groups that crash at the same time, at second 15.
   double crash_at_once = 0;
-  /// Part of the innocent requests that are one and the same.
+  /// Fraction of the innocent requests that have the same content.
   double hot_share = 0;
 };
 
 struct day_result {
   int sent = 0;
   int innocent_refused = 0;
-  /// Innocent requests that a plain count of ends would have refused.
+  /// Innocent requests that a plain count of three crashes would have refused.
   int refused_by_count = 0;
   int guilty_crashes = 0;
   int sends_after_time_to_know = 0;
@@ -128,7 +131,7 @@
     this->attempt(r);
   }
 
-  /// Has the request come to some node, as a new attempt.
+  /// Sends the request to a random node as a new attempt.
   void attempt(run r) {
     r.node = this->random.below(this->nodes.size());
     r.sends = 0;
@@ -188,7 +191,7 @@
     this->crash(crashed);
   }
 
-  /// Takes note that a guilty run has its group crash.
+  /// Records that a guilty run crashes its group.
   void note_guilty(const run& r, std::set<size_t>& crashed) {
     if (!crashed.insert(r.group).second) return;
     int& ended = this->ended_under[r.identity];
@@ -198,7 +201,7 @@
     this->result.guilty_crashes = std::max(this->result.guilty_crashes, ended);
   }
 
-  /// Has groups crash at the same moment.
+  /// Crashes groups at the same time.
   void crash(const std::set<size_t>& which) {
     std::list<run> lost;
     for (const size_t g : which) {
@@ -226,7 +229,7 @@
 
   void note_loss(const run& r, uint64_t start) {
     crash_tracker& ledger = this->nodes[r.node].ledger;
-    // Its first event comes as its server begins to answer.
+    // The first event is due when the server begins to answer.
     const bool begun = this->now >= r.next || r.passed_some;
     ledger.add_crash(r.identity, start, {r.done, begun, r.repeated}, this->now);
     if (r.passed_some) ledger.add_progress(r.identity, r.done, this->now);
@@ -279,8 +282,8 @@
   }
   std::cout << "sent " << sum.sent << ", innocent refused "
             << sum.innocent_refused << ", by a plain count "
-            << sum.refused_by_count << ", most crashes under a guilty one "
-            << sum.guilty_crashes << ", most sends after 3 s "
+            << sum.refused_by_count << ", max crashes per guilty request "
+            << sum.guilty_crashes << ", max sends more than 3 s after proof "
             << sum.sends_after_time_to_know << "\n";
   return sum;
 }
--- a/test/crash-spread-test.cc
+++ b/test/crash-spread-test.cc
@@ -1,5 +1,6 @@
-// What all nodes of a fleet know of a request that crashes servers, and when,
-// with packets lost, in virtual time.
+// Guards against nodes that learn too late of a request that crashes servers.
+// Simulates the gossip among all nodes of a fleet, with packet loss, in virtual
+// time.
 #include "spokesail/crash-spread.h"
 
 #include <absl/strings/str_cat.h>
@@ -13,7 +14,7 @@
 const absl::Time start = absl::UnixEpoch();
 const request_identity guilty{1, 10};
 
-/// Nodes that tell each other in rounds.
+/// Simulated nodes that gossip in rounds.
 class spread_fleet {
  public:
   spread_fleet(int nodes, double lost, uint64_t seed)
@@ -69,14 +70,15 @@
   size_t sent = 0;
 };
 
-/// Rounds in 2 s, two thirds of the time that nodes have to know.
+/// Number of rounds in 2 s, two thirds of the time that nodes have to learn of
+/// a request.
 constexpr int rounds_allowed = 20;
 
 TEST(crash_spread, all_nodes_know_in_time_with_one_packet_in_ten_lost) {
   for (const int nodes : {3, 9, 89, 295}) {
     for (uint64_t seed = 1; seed <= 20; ++seed) {
       spread_fleet fleet(nodes, 0.1, seed);
-      // Two crashes at one node, the third at another.
+      // Two crashes are recorded at one node, the third at another.
       fleet.crash(0, 1);
       fleet.crash(0, 2);
       fleet.crash(1, 3);
--- a/test/crash-tracker-test.cc
+++ b/test/crash-tracker-test.cc
@@ -1,3 +1,5 @@
+// Tests for the detection of requests that crash servers: quarantine, what
+// clears a request, bounds, and the merge of evidence.
 #include "spokesail/crash-tracker.h"
 
 #include <gtest/gtest.h>
@@ -162,7 +164,7 @@
   EXPECT_FALSE(ledger.quarantined(innocent));
 }
 
-/// Evidence with fewer servers than are kept, so that none is left out.
+/// Evidence on at most as many servers as are kept, so that none is removed.
 rc::Gen<crash_evidence> any_evidence() {
   const auto crash =
       rc::gen::tuple(rc::gen::inRange<uint64_t>(0, crash_evidence::max_crashes),
--- a/test/hall-faults-test.cc
+++ b/test/hall-faults-test.cc
@@ -1,5 +1,6 @@
-// Failures of entry hosts, backend servers and the platform in one data hall,
-// brought about in virtual time.
+// Guards against lost capacity, double execution and stale state after failures
+// of entry hosts, backend servers and the platform. Simulates one data hall in
+// virtual time and injects the failures.
 #include <gtest/gtest.h>
 
 #include "fake-hall.h"
@@ -62,7 +63,8 @@
   this->start();
   this->hall.run_for(absl::Seconds(15));
   this->hall.kill_host(this->member(0, 1));
-  // Detection, grace and regrouping, without the 5 s of a weight load.
+  // Time for detection, grace period and regrouping, but not for a weight load,
+  // which takes 5 s.
   const auto limit = limits_config{}.repair_grace + absl::Milliseconds(1500);
   this->hall.run_for(absl::Seconds(1));
   EXPECT_TRUE(this->serves(2, limit));
@@ -196,7 +198,7 @@
 
 TEST_F(hall_faults, a_late_order_of_an_old_holder_opens_nothing) {
   this->start();
-  // Orders crawl: those of the first holder arrive after it lost the lease.
+  // The orders of the first lease holder arrive after it has lost the lease.
   this->hall.order_delay = absl::Seconds(9);
   this->hall.kill_host(this->member(0, 0));
   this->hall.run_for(absl::Seconds(4));
@@ -264,7 +266,8 @@
 TEST_F(hall_faults, requests_through_a_dying_group_are_told_the_truth) {
   this->start();
   for (int i = 0; i < 100; i++) {
-    // A burst at the moment of death, so that both kinds are in flight.
+    // A burst when the host is killed, so that repeatable and other requests
+    // are in flight.
     const int burst = i == 50 ? 12 : 1;
     for (int n = 0; n < burst; n++) {
       this->hall.request(static_cast<size_t>(n + i) % 3, "m", n % 2 == 0);
--- a/test/server-limit-test.cc
+++ b/test/server-limit-test.cc
@@ -125,7 +125,7 @@
     EXPECT_EQ(this->runs(absl::StrCat("request-", i)), 0);
     return;
   }
-  FAIL() << "none was refused";
+  FAIL() << "no request was refused";
 }
 
 // Guards against an outage of limited servers while nobody holds the lease.
