--- a/include/spokesail/crash-spread.h
+++ b/include/spokesail/crash-spread.h
@@ -42,7 +42,7 @@
   /// Evidence to send to one peer.
   struct message {
     std::string peer;
-    std::vector<crash_update> news;
+    std::vector<crash_update> updates;
     bool operator==(const message&) const = default;
   };
 
@@ -50,20 +50,20 @@
 
   /// Returns the messages of the next round to `peers`, the nodes known to be
   /// alive. Consumes the changes recorded in `ledger`.
-  std::vector<message> next_round(crash_tracker& ledger,
+  std::vector<message> next_round(crash_tracker& tracker,
                                   const std::vector<std::string>& peers,
                                   random_stream& random, absl::Time now);
 
  private:
   /// Adds the changed requests to those that are sent.
-  void queue_changes(crash_tracker& ledger, size_t nodes);
+  void queue_changes(crash_tracker& tracker, size_t nodes);
   /// Messages to random peers, meant for all nodes.
-  std::vector<message> broadcast_messages(const crash_tracker& ledger,
+  std::vector<message> broadcast_messages(const crash_tracker& tracker,
                                           const std::vector<std::string>& peers,
                                           random_stream& random,
                                           absl::Time now);
   /// Messages to the collectors of each request.
-  std::vector<message> collector_messages(const crash_tracker& ledger,
+  std::vector<message> collector_messages(const crash_tracker& tracker,
                                           const std::vector<std::string>& peers,
                                           absl::Time now);
 
--- a/include/spokesail/crash-tracker.h
+++ b/include/spokesail/crash-tracker.h
@@ -59,14 +59,14 @@
 
   /// Records that a server crashed under a request.
   void add_crash(const request_identity& request, uint64_t server,
-                 const server_crash& end, absl::Time now);
+                 const server_crash& crash, absl::Time now);
 
   /// Records the progress of an attempt. Ignored for requests without a crash.
   void add_progress(const request_identity& request, int64_t point,
                     absl::Time now);
 
   /// Merges the evidence of another node.
-  void take(const crash_update& said, absl::Time now);
+  void merge_update(const crash_update& update, absl::Time now);
 
   /// Whether a request must not be sent to any server.
   bool quarantined(const request_identity& request) const;
@@ -91,8 +91,8 @@
 
   /// The evidence on a request, to be sent to other nodes; nothing if there is
   /// none.
-  std::optional<crash_update> tell(const request_identity& request,
-                                   absl::Time now) const;
+  std::optional<crash_update> update_for(const request_identity& request,
+                                         absl::Time now) const;
 
   /// All requests with enough crashes to be quarantined, including those whose
   /// crashes another request explains.
@@ -121,7 +121,7 @@
     absl::Time updated_at = absl::InfinitePast();
   };
   /// Inserts or replaces the record of a request.
-  void store_record(const request_identity& request, record next);
+  void store_record(const request_identity& request, record value);
   /// Evicts records so that one more of a workspace fits.
   void evict_if_full(uint64_t workspace);
   /// Evicts the record of a workspace with the fewest crashes, and of these the
--- a/include/spokesail/grant-client.h
+++ b/include/spokesail/grant-client.h
@@ -33,17 +33,17 @@
   /// Records demand for one more request to a server, up to `most` until the
   /// next grant request. Ignored if `max_servers` other servers have demand.
   void add_demand(const std::string& server, int64_t incarnation,
-                  int most = max_requests);
+                  int max_count = max_requests);
 
   /// Whether there is demand and the interval between grant requests is over.
   bool request_due(absl::Time now) const;
   /// Returns a grant request for the recorded demand, which is cleared. `nonce`
   /// must not have been used before.
-  grant_request ask(uint64_t nonce, absl::Time now);
+  grant_request make_request(uint64_t nonce, absl::Time now);
 
   /// Adds the grants of a response. Returns the number of requests granted; 0
   /// if the nonce is unknown or already answered, or the grants have expired.
-  int take(const grant_response& said, absl::Time now);
+  int accept_response(const grant_response& response, absl::Time now);
 
   /// Whether a grant for a server is available.
   bool has(const std::string& server, absl::Time now) const;
--- a/include/spokesail/grant-issuer.h
+++ b/include/spokesail/grant-issuer.h
@@ -62,8 +62,8 @@
   /// Grants as many of the requested requests as there are whole tokens.
   /// `bucket_of` returns the bucket parameters of a server; nothing is granted
   /// if the burst is below 1.
-  grant_response answer(
-      const grant_request& asked,
+  grant_response grant(
+      const grant_request& request,
       const std::function<token_bucket_params(const server_request_count&)>&
           bucket_of,
       absl::Time now);
@@ -76,15 +76,16 @@
  private:
   /// The token bucket of a server.
   struct bucket_state {
-    token_bucket_params bucket;
+    token_bucket_params params;
     double tokens = 0;
     absl::Time refilled_at;
   };
   /// Returns a server's bucket, refilled up to `now` and created if missing;
   /// null if there are too many.
-  bucket_state* find(const std::string& server,
-                     const token_bucket_params& bucket, absl::Time now);
-  static void refill(bucket_state& a, absl::Time now);
+  bucket_state* find_or_create(const std::string& server,
+                               const token_bucket_params& params,
+                               absl::Time now);
+  static void refill(bucket_state& state, absl::Time now);
 
   grant_timing timing;
   /// Infinite future while this node does not hold the lease.
--- a/src/crash-check.cc
+++ b/src/crash-check.cc
@@ -10,63 +10,65 @@
 
 /// A server that has not answered a probe after this time counts as crashed. A
 /// live server answers within a few milliseconds.
-constexpr absl::Duration answer_limit = absl::Milliseconds(90);
+constexpr absl::Duration probe_timeout = absl::Milliseconds(90);
 
 /// Status with which a server answers a request that expects another server at
 /// its address.
-constexpr auto another_server = http::status::misdirected_request;
+constexpr auto other_server_status = http::status::misdirected_request;
 
-enum class server_state { lives, ended, unknown };
+enum class server_liveness { alive, crashed, unknown };
 
-server_state judge(node_context& node, const endpoint_target& endpoint,
-                   const http_response& answer) {
-  if (answer.result() == another_server) return server_state::ended;
+server_liveness classify_answer(node_context& node,
+                                const endpoint_target& endpoint,
+                                const http_response& answer) {
+  if (answer.result() == other_server_status) return server_liveness::crashed;
   const auto report = node.adapter.read_report(answer);
-  const bool other_start = report && report->incarnation != 0 &&
-                           endpoint.incarnation != 0 &&
-                           report->incarnation != endpoint.incarnation;
-  return other_start ? server_state::ended : server_state::lives;
+  const bool restarted = report && report->incarnation != 0 &&
+                         endpoint.incarnation != 0 &&
+                         report->incarnation != endpoint.incarnation;
+  return restarted ? server_liveness::crashed : server_liveness::alive;
 }
 
-net::awaitable<server_state> ask(node_context& node,
-                                 const endpoint_target& endpoint) {
+net::awaitable<server_liveness> probe(node_context& node,
+                                      const endpoint_target& endpoint) {
   const http_request request =
       node.adapter.write_report_request(endpoint.server);
   fetch_result result =
-      co_await node.fetcher.fetch(endpoint.address, request, answer_limit);
+      co_await node.fetcher.fetch(endpoint.address, request, probe_timeout);
   // Retries once, since the server may just have closed a pooled connection.
   if (result.status == fetch_status::no_answer) {
     result =
-        co_await node.fetcher.fetch(endpoint.address, request, answer_limit);
+        co_await node.fetcher.fetch(endpoint.address, request, probe_timeout);
   }
   if (result.status == fetch_status::ok) {
-    co_return judge(node, endpoint, result.response);
+    co_return classify_answer(node, endpoint, result.response);
   }
   // If this node's event loop was blocked for as long, the answer may have
   // arrived in time without being read.
-  co_return node.loop_delay >= answer_limit ? server_state::unknown
-                                            : server_state::ended;
+  co_return node.loop_delay >= probe_timeout ? server_liveness::unknown
+                                             : server_liveness::crashed;
 }
 
 }  // namespace
 
 net::awaitable<void> check_crash(node_context& node, lost_run run) {
-  std::string ended = run.unresponsive_member;
-  if (ended.empty()) {
-    const server_state state = co_await ask(node, run.endpoint);
-    if (state != server_state::ended) co_return;
-    ended = run.endpoint.server;
+  std::string crashed_server = run.unresponsive_member;
+  if (crashed_server.empty()) {
+    const server_liveness state = co_await probe(node, run.endpoint);
+    if (state != server_liveness::crashed) co_return;
+    crashed_server = run.endpoint.server;
   }
   const absl::Time now = node.now();
-  const uint64_t start = incarnation_hash(ended, run.endpoint.incarnation);
-  node.crashes.add_crash(run.request, start, run.end, now);
+  const uint64_t instance =
+      incarnation_hash(crashed_server, run.endpoint.incarnation);
+  node.crashes.add_crash(run.request, instance, run.crash, now);
   node.log.write(log_category::request, "server_ended_under_request",
                  {{"identity", to_text(run.request)},
-                  {"server", ended},
+                  {"server", crashed_server},
                   {"group", run.endpoint.group},
-                  {"last_event", absl::StrCat(run.end.point)},
-                  {"begun", run.end.begun ? "1" : "0"},
-                  {"repeated", run.end.repeated ? "1" : "0"},
+                  {"last_event", absl::StrCat(run.crash.point)},
+                  {"begun", run.crash.begun ? "1" : "0"},
+                  {"repeated", run.crash.repeated ? "1" : "0"},
                   {"servers", absl::StrCat(node.crashes.count(run.request))}},
                  now);
 }
--- a/src/crash-check.h
+++ b/src/crash-check.h
@@ -16,7 +16,7 @@
   request_identity request;
   endpoint_target endpoint;
   /// State of the attempt when it was lost.
-  server_crash end;
+  server_crash crash;
   /// A member of the group that did not respond; empty if none is known.
   std::string unresponsive_member;
 };
--- a/src/crash-evidence.cc
+++ b/src/crash-evidence.cc
@@ -17,11 +17,11 @@
 crash_evidence merge(const crash_evidence& a, const crash_evidence& b) {
   crash_evidence out = a;
   out.passed = std::max(a.passed, b.passed);
-  for (const auto& [server, end] : b.crashes) {
-    server_crash& known = out.crashes.try_emplace(server, end).first->second;
+  for (const auto& [server, crash] : b.crashes) {
+    server_crash& stored = out.crashes.try_emplace(server, crash).first->second;
     // Takes the larger as a whole. A combination of fields could keep a field
     // of a crash that progress refutes, and depend on the order of merges.
-    known = std::max(known, end);
+    stored = std::max(stored, crash);
   }
   normalize(out);
   return out;
--- a/src/crash-gossip.h
+++ b/src/crash-gossip.h
@@ -22,15 +22,15 @@
   boost::asio::awaitable<void> run();
 
   /// Handles a report from a peer: merges its evidence, or answers its digest.
-  void take(const std::string& peer, const crash_report& said);
+  void take(const std::string& peer, const crash_report& report);
 
  private:
   /// Sends the gossip messages of one round.
-  void tell(const std::vector<std::string>& peers, absl::Time now);
+  void send_updates(const std::vector<std::string>& peers, absl::Time now);
   /// Sends the digest to a random peer if the period is over.
-  void ask(const std::vector<std::string>& peers, absl::Time now);
+  void send_digest(const std::vector<std::string>& peers, absl::Time now);
   /// Sends a peer the evidence on all requests with enough crashes.
-  void answer(const std::string& peer, absl::Time now);
+  void send_evidence(const std::string& peer, absl::Time now);
   /// Logs which requests have entered or left quarantine.
   void log_quarantine_changes(absl::Time now);
 
--- a/src/crash-tracker.cc
+++ b/src/crash-tracker.cc
@@ -13,53 +13,56 @@
 }
 
 void crash_tracker::add_crash(const request_identity& request, uint64_t server,
-                              const server_crash& end, absl::Time now) {
-  this->take(
-      {request, {{{server, end}}, run_progress::start}, absl::ZeroDuration()},
+                              const server_crash& crash, absl::Time now) {
+  this->merge_update(
+      {request, {{{server, crash}}, run_progress::start}, absl::ZeroDuration()},
       now);
 }
 
 void crash_tracker::add_progress(const request_identity& request, int64_t point,
                                  absl::Time now) {
   if (!this->contains(request)) return;
-  this->take({request, {{}, point}, absl::ZeroDuration()}, now);
+  this->merge_update({request, {{}, point}, absl::ZeroDuration()}, now);
 }
 
-void crash_tracker::take(const crash_update& said, absl::Time now) {
-  const auto found = this->records.find(said.identity);
-  const record known = found == this->records.end() ? record{} : found->second;
-  record next;
-  next.evidence = merge(known.evidence, said.evidence);
-  next.updated_at = std::max(known.updated_at, now - said.age);
-  if (now - next.updated_at >= retention) return;
+void crash_tracker::merge_update(const crash_update& update, absl::Time now) {
+  const auto found = this->records.find(update.identity);
+  const record current =
+      found == this->records.end() ? record{} : found->second;
+  record merged;
+  merged.evidence = merge(current.evidence, update.evidence);
+  merged.updated_at = std::max(current.updated_at, now - update.age);
+  if (now - merged.updated_at >= retention) return;
   // A node that sent less evidence than is known here gets the rest with the
   // changes.
-  crash_evidence heard = said.evidence;
-  normalize(heard);
-  if (next.evidence == known.evidence && heard == known.evidence) return;
-  this->changes.insert(said.identity);
-  this->store_record(said.identity, std::move(next));
+  crash_evidence received = update.evidence;
+  normalize(received);
+  if (merged.evidence == current.evidence && received == current.evidence)
+    return;
+  this->changes.insert(update.identity);
+  this->store_record(update.identity, std::move(merged));
 }
 
-void crash_tracker::store_record(const request_identity& request, record next) {
+void crash_tracker::store_record(const request_identity& request,
+                                 record value) {
   if (!this->contains(request)) {
     this->evict_if_full(request.workspace);
     this->by_workspace[request.workspace]++;
   }
-  if (reaches_threshold(next.evidence)) {
+  if (reaches_threshold(value.evidence)) {
     this->over_threshold.insert(request);
   } else {
     this->over_threshold.erase(request);
   }
-  this->records[request] = std::move(next);
+  this->records[request] = std::move(value);
 }
 
 bool crash_tracker::reaches_threshold(const crash_evidence& evidence) {
   size_t begun = 0;
   size_t repeated = 0;
-  for (const auto& [server, end] : evidence.crashes) {
-    begun += end.begun ? 1 : 0;
-    repeated += end.repeated ? 1 : 0;
+  for (const auto& [server, crash] : evidence.crashes) {
+    begun += crash.begun ? 1 : 0;
+    repeated += crash.repeated ? 1 : 0;
   }
   if (repeated < repeated_crash_threshold) return false;
   return begun >= begun_crash_threshold ||
@@ -82,10 +85,10 @@
   auto least = first;
   for (auto at = first;
        at != this->records.end() && at->first.workspace == workspace; ++at) {
-    const auto weight = [](const record& r) {
+    const auto rank = [](const record& r) {
       return std::make_pair(r.evidence.crashes.size(), r.updated_at);
     };
-    if (weight(at->second) < weight(least->second)) least = at;
+    if (rank(at->second) < rank(least->second)) least = at;
   }
   this->over_threshold.erase(least->first);
   this->records.erase(least);
@@ -129,8 +132,8 @@
                                       : found->second.evidence.crashes.size();
 }
 
-std::optional<crash_update> crash_tracker::tell(const request_identity& request,
-                                                absl::Time now) const {
+std::optional<crash_update> crash_tracker::update_for(
+    const request_identity& request, absl::Time now) const {
   const auto found = this->records.find(request);
   if (found == this->records.end()) return std::nullopt;
   const record& r = found->second;
--- a/src/grant-client.cc
+++ b/src/grant-client.cc
@@ -6,16 +6,16 @@
 namespace spokesail {
 
 void grant_client::add_demand(const std::string& server, int64_t incarnation,
-                              int most) {
-  const auto known = this->demand_by_server.find(server);
-  if (known == this->demand_by_server.end() &&
+                              int max_count) {
+  const auto found = this->demand_by_server.find(server);
+  if (found == this->demand_by_server.end() &&
       this->demand_by_server.size() >= max_servers) {
     return;
   }
-  server_request_count& wished = this->demand_by_server[server];
-  wished.server = server;
-  wished.incarnation = incarnation;
-  wished.count = std::min(most, wished.count + 1);
+  server_request_count& demand = this->demand_by_server[server];
+  demand.server = server;
+  demand.incarnation = incarnation;
+  demand.count = std::min(max_count, demand.count + 1);
 }
 
 bool grant_client::request_due(absl::Time now) const {
@@ -23,10 +23,10 @@
          now - this->last_request_at >= this->request_interval;
 }
 
-grant_request grant_client::ask(uint64_t nonce, absl::Time now) {
+grant_request grant_client::make_request(uint64_t nonce, absl::Time now) {
   grant_request out{nonce, {}};
-  for (auto& [server, wished] : this->demand_by_server)
-    out.wanted.push_back(wished);
+  for (auto& [server, demand] : this->demand_by_server)
+    out.wanted.push_back(demand);
   this->demand_by_server.clear();
   this->pending_requests[nonce] = now;
   this->last_request_at = now;
@@ -38,21 +38,22 @@
   return out;
 }
 
-int grant_client::take(const grant_response& said, absl::Time now) {
-  const auto question = this->pending_requests.find(said.nonce);
-  if (question == this->pending_requests.end()) return 0;
-  const absl::Time until = question->second + this->timing.grant_lifetime;
-  this->pending_requests.erase(question);
+int grant_client::accept_response(const grant_response& response,
+                                  absl::Time now) {
+  const auto pending = this->pending_requests.find(response.nonce);
+  if (pending == this->pending_requests.end()) return 0;
+  const absl::Time until = pending->second + this->timing.grant_lifetime;
+  this->pending_requests.erase(pending);
   if (now >= until) return 0;
   int out = 0;
-  for (const server_request_count& granted : said.granted) {
+  for (const server_request_count& granted : response.granted) {
     if (granted.count <= 0) continue;
-    std::deque<grant_batch>& portions = this->grants[granted.server];
+    std::deque<grant_batch>& batches = this->grants[granted.server];
     // Responses can arrive out of order.
     const auto at =
-        std::find_if(portions.begin(), portions.end(),
-                     [&](const auto& p) { return p.until > until; });
-    portions.insert(at, {until, granted.count});
+        std::find_if(batches.begin(), batches.end(),
+                     [&](const auto& batch) { return batch.until > until; });
+    batches.insert(at, {until, granted.count});
     out += granted.count;
   }
   if (out > 0) {
@@ -72,10 +73,10 @@
                                             absl::Time now) {
   const auto found = this->grants.find(server);
   if (found == this->grants.end()) return std::nullopt;
-  for (grant_batch& p : found->second) {
-    if (p.until <= now || p.count == 0) continue;
-    const absl::Time until = p.until;
-    if (--p.count == 0)
+  for (grant_batch& batch : found->second) {
+    if (batch.until <= now || batch.count == 0) continue;
+    const absl::Time until = batch.until;
+    if (--batch.count == 0)
       std::erase_if(found->second,
                     [](const auto& spent) { return spent.count == 0; });
     return until;
@@ -88,10 +89,10 @@
     return item.second + this->timing.grant_lifetime <= now;
   });
   int unused = 0;
-  for (auto& [server, portions] : this->grants) {
-    while (!portions.empty() && portions.front().until <= now) {
-      unused += portions.front().count;
-      portions.pop_front();
+  for (auto& [server, batches] : this->grants) {
+    while (!batches.empty() && batches.front().until <= now) {
+      unused += batches.front().count;
+      batches.pop_front();
     }
   }
   std::erase_if(this->grants,
@@ -101,8 +102,9 @@
 
 int grant_client::held(absl::Time now) const {
   int out = 0;
-  for (const auto& [server, portions] : this->grants) {
-    for (const grant_batch& p : portions) out += p.until > now ? p.count : 0;
+  for (const auto& [server, batches] : this->grants) {
+    for (const grant_batch& batch : batches)
+      out += batch.until > now ? batch.count : 0;
   }
   return out;
 }
--- a/src/grant-coordinator.h
+++ b/src/grant-coordinator.h
@@ -18,7 +18,7 @@
 class grant_coordinator {
  public:
   grant_coordinator(node_context& node, peer_link& link, lease_manager& manager)
-      : node(node), link(link), manager(manager), ledger(node.cold.times()) {}
+      : node(node), link(link), manager(manager), issuer(node.cold.times()) {}
 
   /// Sends a grant request if one is due and removes expired grants. Must be
   /// called often, since callers' requests may be waiting for a grant.
@@ -26,17 +26,17 @@
 
   /// Responds to a peer's grant request if this node holds the lease. Sends
   /// nothing if there is neither a grant nor a newer rate limit to return.
-  void answer(const std::string& peer, const grant_request& asked);
+  void answer(const std::string& peer, const grant_request& request);
   /// Adds the grants and rate limits of a response from the lease holder.
-  void take(const std::string& peer, const grant_response& said);
+  void take(const std::string& peer, const grant_response& response);
 
   void set_gauges() const;
 
  private:
   /// Begins or ends the term for grants if the lease was acquired or lost.
   void update_term(absl::Time now);
-  void ask(absl::Time now);
-  grant_response grant(const std::string& peer, const grant_request& asked,
+  void send_request(absl::Time now);
+  grant_response grant(const std::string& peer, const grant_request& request,
                        absl::Time now);
   /// Configured request rate of a server while it is cold, in requests per
   /// second; 0 if the server or its service is unknown.
@@ -47,15 +47,15 @@
                                 absl::Time now) const;
   /// Merges the limit reports of a peer. Returns this node's state of those
   /// that differ.
-  std::vector<limit_report> merge_limits(const std::vector<limit_report>& said,
-                                         absl::Time now);
+  std::vector<limit_report> merge_limits(
+      const std::vector<limit_report>& reports, absl::Time now);
   /// Number of cold servers in this node's directory.
-  int count_cold() const;
+  int count_cold_servers() const;
 
   node_context& node;
   peer_link& link;
   lease_manager& manager;
-  grant_issuer ledger;
+  grant_issuer issuer;
   /// Fencing number of the current term; nothing while another node holds the
   /// lease.
   std::optional<int64_t> term;
--- a/src/limit-gossip.cc
+++ b/src/limit-gossip.cc
@@ -12,17 +12,18 @@
 
 }  // namespace
 
-void limit_gossip::take(const std::string& peer, const limit_update& said) {
+void limit_gossip::take(const std::string& peer, const limit_update& update) {
   const absl::Time now = this->node.now();
-  for (const limit_report& report : said.reports) {
-    const std::optional<double> before = this->node.limits.find(report.server);
-    if (!this->node.limits.take(report, now)) continue;
-    if (before == report.per_s) continue;
+  for (const limit_report& report : update.reports) {
+    const std::optional<double> previous =
+        this->node.limits.find(report.server);
+    if (!this->node.limits.merge_report(report, now)) continue;
+    if (previous == report.per_s) continue;
     this->node.log.state_change(
         "server_limit_heard",
         {{"server", report.server.server},
          {"peer", peer},
-         {"before_per_s", before ? absl::StrCat(*before) : "none"},
+         {"before_per_s", previous ? absl::StrCat(*previous) : "none"},
          {"per_s", report.per_s ? absl::StrCat(*report.per_s) : "none"},
          {"age_ms", absl::StrCat(absl::ToInt64Milliseconds(report.age))}},
         now);
--- a/src/limit-share.cc
+++ b/src/limit-share.cc
@@ -6,17 +6,16 @@
 namespace {
 
 /// Maximum number of available slots of a node at a server.
-constexpr double most_open_slots = 100;
+constexpr double max_open_slots = 100;
 
 /// Shortest and longest interval between slots.
-const absl::Duration least_period =
-    limit_share::slot_lifetime / most_open_slots;
-constexpr absl::Duration longest_period = absl::Hours(1);
+const absl::Duration min_period = limit_share::slot_lifetime / max_open_slots;
+constexpr absl::Duration max_period = absl::Hours(1);
 
 absl::Duration period_of(double per_s, int nodes) {
   const double rate = limit_share::fraction * per_s / std::max(1, nodes);
   const double seconds = 1 / std::max(rate, 1e-9);
-  return std::clamp(absl::Seconds(seconds), least_period, longest_period);
+  return std::clamp(absl::Seconds(seconds), min_period, max_period);
 }
 
 }  // namespace
--- a/test/cold-servers-test.cc
+++ b/test/cold-servers-test.cc
@@ -19,7 +19,7 @@
 constexpr absl::Duration step = absl::Milliseconds(10);
 
 /// Longest time between the terms of two lease holders.
-constexpr absl::Duration longest_gap = absl::Seconds(1);
+constexpr absl::Duration max_gap = absl::Seconds(1);
 
 /// Mutations that disable one mechanism, to show that the bound depends on it.
 enum class mutant {
@@ -27,19 +27,19 @@
   /// The lifetime of a grant counts from the receipt of the response.
   from_receipt,
   /// A new lease holder issues grants immediately.
-  no_wait
+  no_term_delay
 };
 
 /// Faults that are injected in a run.
-struct trouble {
+struct fault_rates {
   /// Fraction of messages lost.
   double lost = 0;
   /// Fraction of messages that are queued. The queues are flushed at the end of
   /// every period of length `late`.
-  double slow = 0;
-  absl::Duration late = absl::ZeroDuration();
+  double queued = 0;
+  absl::Duration flush_period = absl::ZeroDuration();
   /// Maximum duration of a lease term.
-  absl::Duration term = absl::Seconds(60);
+  absl::Duration max_term = absl::Seconds(60);
   /// Fraction of nodes that restart per second.
   double restarts = 0;
   /// Whether the network partitions into halves at random times.
@@ -50,8 +50,8 @@
 /// server. The total is many times the rate of the servers.
 class cold_fleet {
  public:
-  cold_fleet(int nodes, double rate, trouble t, mutant m, uint64_t seed)
-      : rate(rate), faults(t), left_out(m), random{std::mt19937_64(seed)} {
+  cold_fleet(int nodes, double rate, fault_rates t, mutant m, uint64_t seed)
+      : rate(rate), faults(t), mutated(m), random{std::mt19937_64(seed)} {
     this->nodes.resize(static_cast<size_t>(nodes));
     for (int i = 0; i < servers; ++i) {
       this->names.push_back(absl::StrCat("s", i));
@@ -66,7 +66,7 @@
   }
 
   /// Maximum number of requests that one server received within a second.
-  int most_in_a_second() const {
+  int max_in_a_second() const {
     int most = 0;
     for (const auto& times : this->sent) {
       size_t first = 0;
@@ -90,37 +90,37 @@
 
  private:
   struct node {
-    grant_client allowance;
-    grant_issuer ledger;
+    grant_client client;
+    grant_issuer issuer;
     size_t believed_holder = 0;
     bool in_first_half = false;
   };
   struct message {
     size_t from = 0;
     size_t to = 0;
-    grant_request asked;
-    grant_response given;
-    bool is_grant = false;
+    grant_request request;
+    grant_response response;
+    bool is_response = false;
   };
 
   void next_holder() {
     node& old = this->nodes[this->holder];
-    old.ledger.end_term();
+    old.issuer.end_term();
     this->holder = this->random.below(this->nodes.size());
     this->term_begin = this->now + this->random.unit() *
-                                       std::min(longest_gap, this->faults.term);
+                                       std::min(max_gap, this->faults.max_term);
     this->term_end =
-        this->term_begin + this->random.unit() * this->faults.term + step;
-    this->began = false;
+        this->term_begin + this->random.unit() * this->faults.max_term + step;
+    this->term_began = false;
   }
 
-  void keep_lease() {
+  void update_lease() {
     if (this->now >= this->term_end) this->next_holder();
-    if (this->began || this->now < this->term_begin) return;
-    this->began = true;
-    const bool waits = this->left_out != mutant::no_wait;
-    this->nodes[this->holder].ledger.begin_term(
-        waits ? this->now : this->now - absl::Seconds(10));
+    if (this->term_began || this->now < this->term_begin) return;
+    this->term_began = true;
+    const bool delayed = this->mutated != mutant::no_term_delay;
+    this->nodes[this->holder].issuer.begin_term(
+        delayed ? this->now : this->now - absl::Seconds(10));
   }
 
   void split_or_heal() {
@@ -136,19 +136,21 @@
     if (this->split && from.in_first_half != to.in_first_half) return;
     if (this->random.unit() < this->faults.lost) return;
     absl::Duration delay = this->random.unit() * absl::Milliseconds(20);
-    if (this->random.unit() < this->faults.slow) delay += this->held_back();
-    this->under_way.emplace(this->now + delay, std::move(m));
+    if (this->random.unit() < this->faults.queued) delay += this->queue_delay();
+    this->in_flight.emplace(this->now + delay, std::move(m));
   }
 
   /// Time until the next flush of the queues.
-  absl::Duration held_back() const {
-    if (this->faults.late == absl::ZeroDuration()) return this->faults.late;
-    return this->faults.late - (this->now - start) % this->faults.late;
+  absl::Duration queue_delay() const {
+    if (this->faults.flush_period == absl::ZeroDuration())
+      return this->faults.flush_period;
+    return this->faults.flush_period -
+           (this->now - start) % this->faults.flush_period;
   }
 
-  grant_response grant(size_t at, const grant_request& asked) {
-    return this->nodes[at].ledger.answer(
-        asked,
+  grant_response grant(size_t at, const grant_request& request) {
+    return this->nodes[at].issuer.grant(
+        request,
         [this](const server_request_count&) {
           return bucket_for_cold_rate(this->rate,
                                       grant_timing().grant_lifetime);
@@ -156,39 +158,40 @@
         this->now);
   }
 
-  void take(size_t at, const grant_response& given, absl::Time when) {
-    this->nodes[at].allowance.take(given, when);
+  void accept(size_t at, const grant_response& response, absl::Time when) {
+    this->nodes[at].client.accept_response(response, when);
   }
 
   void deliver(const message& m) {
-    if (m.is_grant) {
-      if (this->left_out == mutant::from_receipt) {
-        this->nodes[m.to].allowance.ask(m.given.nonce, this->now);
+    if (m.is_response) {
+      if (this->mutated == mutant::from_receipt) {
+        this->nodes[m.to].client.make_request(m.response.nonce, this->now);
       }
-      this->take(m.to, m.given, this->now);
+      this->accept(m.to, m.response, this->now);
       return;
     }
-    message answer{m.to, m.from, {}, this->grant(m.to, m.asked), true};
-    if (!answer.given.granted.empty()) this->send(std::move(answer));
+    message reply{m.to, m.from, {}, this->grant(m.to, m.request), true};
+    if (!reply.response.granted.empty()) this->send(std::move(reply));
   }
 
-  void ask(size_t i) {
+  void send_request(size_t i) {
     node& n = this->nodes[i];
     if (this->random.unit() < 0.02) n.believed_holder = this->holder;
-    if (!n.allowance.request_due(this->now)) return;
-    const grant_request asked = n.allowance.ask(++this->nonce, this->now);
+    if (!n.client.request_due(this->now)) return;
+    const grant_request request =
+        n.client.make_request(++this->nonce, this->now);
     if (n.believed_holder == i) {
-      this->take(i, this->grant(i, asked), this->now);
+      this->accept(i, this->grant(i, request), this->now);
     } else {
-      this->send({i, n.believed_holder, asked, {}, false});
+      this->send({i, n.believed_holder, request, {}, false});
     }
   }
 
-  void act(size_t i) {
+  void run_node(size_t i) {
     node& n = this->nodes[i];
     if (this->random.unit() < this->faults.restarts * 0.01) {
-      n.allowance = grant_client();
-      n.ledger.end_term();
+      n.client = grant_client();
+      n.issuer.end_term();
       if (i == this->holder) this->term_end = this->now;
     }
     // Uses grants only in some steps, so that some are used just before they
@@ -196,55 +199,55 @@
     const bool uses = this->random.unit() < 0.3;
     for (int s = 0; s < servers; ++s) {
       const std::string& name = this->names[static_cast<size_t>(s)];
-      if (this->random.unit() < 0.1) n.allowance.add_demand(name, 1);
-      while (uses && n.allowance.use(name, this->now)) {
+      if (this->random.unit() < 0.1) n.client.add_demand(name, 1);
+      while (uses && n.client.use(name, this->now)) {
         this->sent[static_cast<size_t>(s)].push_back(this->now);
       }
     }
-    this->ask(i);
+    this->send_request(i);
   }
 
   void advance() {
     this->now += step;
-    this->keep_lease();
+    this->update_lease();
     this->split_or_heal();
-    while (!this->under_way.empty() &&
-           this->under_way.begin()->first <= this->now) {
-      const message m = this->under_way.begin()->second;
-      this->under_way.erase(this->under_way.begin());
+    while (!this->in_flight.empty() &&
+           this->in_flight.begin()->first <= this->now) {
+      const message m = this->in_flight.begin()->second;
+      this->in_flight.erase(this->in_flight.begin());
       this->deliver(m);
     }
     for (size_t i = 0; i < this->nodes.size(); ++i) {
-      this->nodes[i].allowance.expire(this->now);
-      this->act(i);
+      this->nodes[i].client.expire(this->now);
+      this->run_node(i);
     }
   }
 
   double rate;
-  trouble faults;
-  mutant left_out;
+  fault_rates faults;
+  mutant mutated;
   random_stream random;
   std::vector<node> nodes;
   std::vector<std::string> names;
   std::vector<std::vector<absl::Time>> sent;
-  std::multimap<absl::Time, message> under_way;
+  std::multimap<absl::Time, message> in_flight;
   uint64_t nonce = 0;
   size_t holder = 0;
   absl::Time term_begin = start;
   absl::Time term_end = start;
-  bool began = false;
+  bool term_began = false;
   bool split = false;
 };
 
-const trouble all_at_once{0.1,  0.5, absl::Seconds(2), absl::Seconds(3),
-                          0.02, true};
+const fault_rates all_faults{0.1,  0.5, absl::Seconds(2), absl::Seconds(3),
+                             0.02, true};
 
 RC_GTEST_PROP(cold_servers, no_server_gets_more_than_its_rate, ()) {
-  trouble t;
+  fault_rates t;
   t.lost = *rc::gen::inRange(0, 50) * 0.01;
-  t.slow = *rc::gen::inRange(0, 50) * 0.01;
-  t.late = absl::Milliseconds(*rc::gen::inRange(0, 3000));
-  t.term = absl::Milliseconds(*rc::gen::inRange(10, 8000));
+  t.queued = *rc::gen::inRange(0, 50) * 0.01;
+  t.flush_period = absl::Milliseconds(*rc::gen::inRange(0, 3000));
+  t.max_term = absl::Milliseconds(*rc::gen::inRange(10, 8000));
   t.restarts = *rc::gen::inRange(0, 20) * 0.01;
   t.splits = *rc::gen::arbitrary<bool>();
   const int nodes = *rc::gen::element(83, 295);
@@ -252,38 +255,38 @@
   cold_fleet fleet(nodes, rate, t, mutant::none,
                    *rc::gen::arbitrary<uint64_t>());
   fleet.run(absl::Seconds(6));
-  RC_ASSERT(fleet.most_in_a_second() <= rate);
+  RC_ASSERT(fleet.max_in_a_second() <= rate);
 }
 
 TEST(cold_servers, bound_holds_with_all_troubles_at_once) {
   for (const int nodes : {83, 295}) {
     for (uint64_t seed = 1; seed <= 5; ++seed) {
-      cold_fleet fleet(nodes, 26, all_at_once, mutant::none, seed);
+      cold_fleet fleet(nodes, 26, all_faults, mutant::none, seed);
       fleet.run(absl::Seconds(20));
-      EXPECT_LE(fleet.most_in_a_second(), 26) << nodes << " nodes, " << seed;
+      EXPECT_LE(fleet.max_in_a_second(), 26) << nodes << " nodes, " << seed;
     }
   }
 }
 
-TEST(cold_servers, bound_breaks_if_time_counts_from_the_receipt) {
-  trouble t;
-  t.slow = 0.8;
-  t.late = absl::Seconds(3);
+TEST(cold_servers, bound_breaks_if_lifetime_counts_from_receipt) {
+  fault_rates t;
+  t.queued = 0.8;
+  t.flush_period = absl::Seconds(3);
   cold_fleet fleet(83, 26, t, mutant::from_receipt, 1);
   fleet.run(absl::Seconds(20));
-  EXPECT_GT(fleet.most_in_a_second(), 26);
+  EXPECT_GT(fleet.max_in_a_second(), 26);
 }
 
 TEST(cold_servers, bound_breaks_if_a_new_holder_does_not_wait) {
-  trouble t;
-  t.term = absl::Milliseconds(100);
+  fault_rates t;
+  t.max_term = absl::Milliseconds(100);
   t.lost = 0.1;
-  cold_fleet fleet(83, 4, t, mutant::no_wait, 1);
+  cold_fleet fleet(83, 4, t, mutant::no_term_delay, 1);
   fleet.run(absl::Seconds(60));
-  EXPECT_GT(fleet.most_in_a_second(), 4);
+  EXPECT_GT(fleet.max_in_a_second(), 4);
 }
 
-TEST(cold_servers, most_of_the_rate_is_used_while_all_is_well) {
+TEST(cold_servers, most_of_the_rate_is_used_without_faults) {
   for (const int nodes : {83, 295, 400}) {
     cold_fleet fleet(nodes, 26, {}, mutant::none, 1);
     fleet.run(absl::Seconds(10));
@@ -307,8 +310,7 @@
   };
 }
 
-TEST(token_bucket_params,
-     gives_the_rate_within_a_second_and_the_time_of_grants) {
+TEST(token_bucket_params, stays_within_the_rate_in_a_second) {
   for (int rate = 1; rate <= 200; ++rate) {
     const absl::Duration hold = absl::Milliseconds(500);
     const token_bucket_params b = bucket_for_cold_rate(rate, hold);
@@ -319,119 +321,121 @@
             token_bucket_params{});
 }
 
-TEST(grant_issuer, grants_nothing_without_a_term_and_until_it_is_old_enough) {
-  grant_issuer ledger;
+TEST(grant_issuer, grants_nothing_without_a_term_or_before_the_delay_ends) {
+  grant_issuer issuer;
   const auto rate = bucket_at(26);
-  const grant_request asked{1, {{"s", 1, 1}}};
-  EXPECT_TRUE(ledger.answer(asked, rate, start).granted.empty());
-  ledger.begin_term(start);
+  const grant_request request{1, {{"s", 1, 1}}};
+  EXPECT_TRUE(issuer.grant(request, rate, start).granted.empty());
+  issuer.begin_term(start);
   const absl::Time soon = start + absl::Milliseconds(599);
-  EXPECT_TRUE(ledger.answer(asked, rate, soon).granted.empty());
+  EXPECT_TRUE(issuer.grant(request, rate, soon).granted.empty());
   const absl::Time later = start + absl::Milliseconds(600);
-  EXPECT_EQ(ledger.answer(asked, rate, later).granted.size(), 1U);
-  ledger.end_term();
-  EXPECT_TRUE(ledger.answer(asked, rate, later).granted.empty());
+  EXPECT_EQ(issuer.grant(request, rate, later).granted.size(), 1U);
+  issuer.end_term();
+  EXPECT_TRUE(issuer.grant(request, rate, later).granted.empty());
 }
 
-TEST(grant_issuer, grants_nothing_for_servers_that_it_does_not_know) {
-  grant_issuer ledger;
-  ledger.begin_term(start);
+TEST(grant_issuer, grants_nothing_for_unknown_servers) {
+  grant_issuer issuer;
+  issuer.begin_term(start);
   const auto rate = bucket_at(0);
   const absl::Time later = start + absl::Seconds(2);
-  const grant_request asked{1, {{"s", 1, 1}}};
-  EXPECT_TRUE(ledger.answer(asked, rate, later).granted.empty());
-  EXPECT_EQ(ledger.size(), 0U);
+  const grant_request request{1, {{"s", 1, 1}}};
+  EXPECT_TRUE(issuer.grant(request, rate, later).granted.empty());
+  EXPECT_EQ(issuer.size(), 0U);
 }
 
-TEST(grant_issuer, is_bounded_and_forgets_servers_with_full_buckets) {
-  grant_issuer ledger;
-  ledger.begin_term(start);
+TEST(grant_issuer, is_bounded_and_removes_full_buckets) {
+  grant_issuer issuer;
+  issuer.begin_term(start);
   const auto rate = bucket_at(26);
   const absl::Time later = start + absl::Seconds(2);
-  grant_request asked;
+  grant_request request;
   for (size_t i = 0; i <= grant_issuer::max_servers; ++i) {
-    asked.wanted.push_back({absl::StrCat("s", i), 1, 1});
+    request.wanted.push_back({absl::StrCat("s", i), 1, 1});
   }
-  EXPECT_EQ(ledger.answer(asked, rate, later).granted.size(),
+  EXPECT_EQ(issuer.grant(request, rate, later).granted.size(),
             grant_issuer::max_servers);
-  ledger.remove_full(later + absl::Seconds(1));
-  EXPECT_EQ(ledger.size(), 0U);
+  issuer.remove_full(later + absl::Seconds(1));
+  EXPECT_EQ(issuer.size(), 0U);
 }
 
-TEST(grant_issuer, shares_one_bucket_among_the_starts_of_a_server) {
-  grant_issuer ledger;
-  ledger.begin_term(start);
+TEST(grant_issuer, shares_one_bucket_among_instances_of_a_server) {
+  grant_issuer issuer;
+  issuer.begin_term(start);
   const auto rate = bucket_at(26);
   const absl::Time later = start + absl::Seconds(2);
-  const grant_response given =
-      ledger.answer({1, {{"s", 1, 2}, {"s", 2, 2}}}, rate, later);
-  ASSERT_EQ(given.granted.size(), 1U);
-  EXPECT_EQ(given.granted.front().incarnation, 1);
+  const grant_response response =
+      issuer.grant({1, {{"s", 1, 2}, {"s", 2, 2}}}, rate, later);
+  ASSERT_EQ(response.granted.size(), 1U);
+  EXPECT_EQ(response.granted.front().incarnation, 1);
 }
 
-TEST(grant_client, ends_a_fixed_time_after_the_question) {
-  grant_client allowance;
-  allowance.add_demand("s", 1);
-  ASSERT_TRUE(allowance.request_due(start));
-  const grant_request asked = allowance.ask(7, start);
-  const grant_response given{7, asked.wanted};
-  const absl::Time heard = start + absl::Milliseconds(300);
-  EXPECT_EQ(allowance.take(given, heard), 1);
-  EXPECT_EQ(allowance.take(given, heard), 0) << "response was accepted twice";
-  EXPECT_TRUE(allowance.has("s", heard));
-  EXPECT_FALSE(allowance.has("s", start + absl::Milliseconds(500)));
-  EXPECT_EQ(allowance.use("s", heard), start + absl::Milliseconds(500));
-  EXPECT_FALSE(allowance.use("s", heard));
+TEST(grant_client, grants_expire_a_fixed_time_after_the_request) {
+  grant_client client;
+  client.add_demand("s", 1);
+  ASSERT_TRUE(client.request_due(start));
+  const grant_request request = client.make_request(7, start);
+  const grant_response response{7, request.wanted};
+  const absl::Time received_at = start + absl::Milliseconds(300);
+  EXPECT_EQ(client.accept_response(response, received_at), 1);
+  EXPECT_EQ(client.accept_response(response, received_at), 0)
+      << "response was accepted twice";
+  EXPECT_TRUE(client.has("s", received_at));
+  EXPECT_FALSE(client.has("s", start + absl::Milliseconds(500)));
+  EXPECT_EQ(client.use("s", received_at), start + absl::Milliseconds(500));
+  EXPECT_FALSE(client.use("s", received_at));
 }
 
-TEST(grant_client, drops_answers_that_come_late_or_were_not_asked_for) {
-  grant_client allowance;
-  allowance.add_demand("s", 1);
-  const grant_response given{7, allowance.ask(7, start).wanted};
-  EXPECT_EQ(allowance.take({8, given.granted}, start), 0);
-  EXPECT_EQ(allowance.take(given, start + absl::Milliseconds(500)), 0);
+TEST(grant_client, ignores_late_and_unknown_responses) {
+  grant_client client;
+  client.add_demand("s", 1);
+  const grant_response response{7, client.make_request(7, start).wanted};
+  EXPECT_EQ(client.accept_response({8, response.granted}, start), 0);
+  EXPECT_EQ(client.accept_response(response, start + absl::Milliseconds(500)),
+            0);
 }
 
-TEST(grant_client, asks_no_more_often_than_its_period_and_within_bounds) {
-  grant_client allowance;
+TEST(grant_client, limits_rate_and_size_of_requests) {
+  grant_client client;
   for (int i = 0; i < 100; ++i) {
-    for (int n = 0; n < 10; ++n) allowance.add_demand(absl::StrCat("s", i), 1);
+    for (int n = 0; n < 10; ++n) client.add_demand(absl::StrCat("s", i), 1);
   }
-  const grant_request asked = allowance.ask(1, start);
-  EXPECT_EQ(asked.wanted.size(), grant_client::max_servers);
-  for (const auto& w : asked.wanted) {
+  const grant_request request = client.make_request(1, start);
+  EXPECT_EQ(request.wanted.size(), grant_client::max_servers);
+  for (const auto& w : request.wanted) {
     EXPECT_EQ(w.count, grant_client::max_requests);
   }
-  allowance.add_demand("s", 1);
-  EXPECT_FALSE(allowance.request_due(start + absl::Milliseconds(99)));
-  EXPECT_TRUE(allowance.request_due(start + absl::Milliseconds(100)));
+  client.add_demand("s", 1);
+  EXPECT_FALSE(client.request_due(start + absl::Milliseconds(99)));
+  EXPECT_TRUE(client.request_due(start + absl::Milliseconds(100)));
 }
 
-TEST(grant_client, asks_less_often_while_nothing_is_granted) {
-  grant_client allowance;
+TEST(grant_client, backs_off_while_nothing_is_granted) {
+  grant_client client;
   absl::Time now = start;
   std::vector<int64_t> pauses;
   for (uint64_t nonce = 1; nonce <= 6; ++nonce) {
     const absl::Time before = now;
-    allowance.add_demand("s", 1);
-    while (!allowance.request_due(now)) now += absl::Milliseconds(1);
-    allowance.ask(nonce, now);
+    client.add_demand("s", 1);
+    while (!client.request_due(now)) now += absl::Milliseconds(1);
+    client.make_request(nonce, now);
     pauses.push_back(absl::ToInt64Milliseconds(now - before));
   }
   EXPECT_EQ(pauses, (std::vector<int64_t>{0, 100, 200, 400, 800, 800}));
-  allowance.take({6, {{"s", 1, 1}}}, now);
-  allowance.add_demand("s", 1);
-  EXPECT_TRUE(allowance.request_due(now + absl::Milliseconds(100)));
+  client.accept_response({6, {{"s", 1, 1}}}, now);
+  client.add_demand("s", 1);
+  EXPECT_TRUE(client.request_due(now + absl::Milliseconds(100)));
 }
 
-TEST(grant_client, tells_what_was_granted_and_not_used) {
-  grant_client allowance;
-  allowance.add_demand("s", 1);
-  const grant_response given{7, allowance.ask(7, start).wanted};
-  allowance.take(given, start);
-  EXPECT_EQ(allowance.expire(start + absl::Milliseconds(499)), 0);
-  EXPECT_EQ(allowance.expire(start + absl::Milliseconds(500)), 1);
-  EXPECT_EQ(allowance.held(start), 0);
+TEST(grant_client, counts_unused_grants) {
+  grant_client client;
+  client.add_demand("s", 1);
+  const grant_response response{7, client.make_request(7, start).wanted};
+  client.accept_response(response, start);
+  EXPECT_EQ(client.expire(start + absl::Milliseconds(499)), 0);
+  EXPECT_EQ(client.expire(start + absl::Milliseconds(500)), 1);
+  EXPECT_EQ(client.held(start), 0);
 }
 
 }  // namespace
--- a/test/cold-start-test.cc
+++ b/test/cold-start-test.cc
@@ -23,13 +23,13 @@
 
   /// Makes all engines report that they are cold for `left_ms` more, and waits
   /// until all nodes know.
-  void say_cold(int left_ms) {
+  void report_cold(int left_ms) {
     this->on_loop([=, this] { this->fleet->faults.cold_left_ms = left_ms; });
     ASSERT_TRUE(
-        this->wait_until([=, this] { return this->all_know(left_ms); }));
+        this->wait_until([=, this] { return this->all_nodes_know(left_ms); }));
   }
 
-  bool all_know(int left_ms) {
+  bool all_nodes_know(int left_ms) {
     const auto knows = [&](const auto& node) {
       const auto& servers = node->context().directory.servers();
       return std::all_of(servers.begin(), servers.end(), [&](const auto& s) {
@@ -55,7 +55,7 @@
                               number % node_count);
   }
 
-  bool any_holds() {
+  bool any_holds_lease() {
     return std::any_of(this->nodes.begin(), this->nodes.end(),
                        [](const auto& node) { return node->holds_lease(); });
   }
@@ -63,7 +63,7 @@
 
 TEST_F(cold_start_test, servers_get_at_most_their_rate_from_all_nodes) {
   this->start_fleet(rate);
-  this->say_cold(cold_ms);
+  this->report_cold(cold_ms);
   const absl::Time begin = boot_now();
   for (int i = 0; i < 90; ++i) this->send(i);
   const double seconds = absl::ToDoubleSeconds(boot_now() - begin);
@@ -75,9 +75,9 @@
   EXPECT_GT(this->served(), 0);
 }
 
-TEST_F(cold_start_test, refusals_say_when_to_come_back) {
+TEST_F(cold_start_test, refusals_have_retry_after) {
   this->start_fleet(rate);
-  this->say_cold(cold_ms);
+  this->report_cold(cold_ms);
   for (int i = 0; i < 90; ++i) {
     const auto answer = this->send(i);
     if (answer.result_int() == 200) continue;
@@ -91,27 +91,27 @@
 
 TEST_F(cold_start_test, nothing_is_sent_while_nobody_holds_the_lease) {
   this->start_fleet(rate);
-  this->say_cold(cold_ms);
+  this->report_cold(cold_ms);
   this->on_loop([this] { this->fleet->faults.store_silent = true; });
-  ASSERT_TRUE(this->wait_until([this] { return !this->any_holds(); }));
-  const absl::Duration held = grant_timing().grant_lifetime;
-  std::this_thread::sleep_for(absl::ToChronoMilliseconds(held));
+  ASSERT_TRUE(this->wait_until([this] { return !this->any_holds_lease(); }));
+  const absl::Duration lifetime = grant_timing().grant_lifetime;
+  std::this_thread::sleep_for(absl::ToChronoMilliseconds(lifetime));
   for (int i = 0; i < 2 * node_count; ++i) {
     EXPECT_EQ(this->send(i).body(), "servers are cold");
   }
   EXPECT_EQ(this->served(), 0);
 }
 
-TEST_F(cold_start_test, all_is_sent_once_servers_are_warm_again) {
+TEST_F(cold_start_test, all_requests_are_sent_once_servers_are_warm) {
   this->start_fleet(rate);
-  this->say_cold(cold_ms);
-  this->say_cold(0);
+  this->report_cold(cold_ms);
+  this->report_cold(0);
   for (int i = 0; i < 30; ++i) EXPECT_EQ(this->send(i).result_int(), 200U);
 }
 
-TEST_F(cold_start_test, all_is_sent_where_the_rate_is_zero) {
+TEST_F(cold_start_test, all_requests_are_sent_if_the_rate_is_zero) {
   this->start_fleet(0);
-  this->say_cold(cold_ms);
+  this->report_cold(cold_ms);
   for (int i = 0; i < 30; ++i) EXPECT_EQ(this->send(i).result_int(), 200U);
 }
 
--- a/test/crash-fleet-test.cc
+++ b/test/crash-fleet-test.cc
@@ -86,7 +86,7 @@
     int64_t start = 1;
   };
   struct node {
-    crash_tracker ledger;
+    crash_tracker tracker;
     crash_spread spread;
   };
 
@@ -113,7 +113,7 @@
     }
     this->move_runs();
     if ((this->now - absl::UnixEpoch()) % round_period == absl::ZeroDuration())
-      this->tell();
+      this->gossip();
   }
 
   void arrive(bool guilty) {
@@ -140,7 +140,7 @@
   }
 
   void send(run r) {
-    if (this->nodes[r.node].ledger.quarantined(r.identity)) {
+    if (this->nodes[r.node].tracker.quarantined(r.identity)) {
       if (!r.guilty) ++this->result.innocent_refused;
       return;
     }
@@ -161,7 +161,7 @@
     r.group = up[this->random.below(up.size())];
     r.passed_some = false;
     r.repeated =
-        r.sends > 0 || this->nodes[r.node].ledger.count(r.identity) > 0;
+        r.sends > 0 || this->nodes[r.node].tracker.count(r.identity) > 0;
     ++r.sends;
     r.next =
         this->now +
@@ -179,7 +179,7 @@
         if (this->now >= r.next + crash_delay) this->note_guilty(r, crashed);
         ++at;
       } else if (++r.done >= r.events) {
-        this->nodes[r.node].ledger.add_progress(
+        this->nodes[r.node].tracker.add_progress(
             r.identity, run_progress::completed, this->now);
         at = this->runs.erase(at);
       } else {
@@ -228,29 +228,31 @@
   }
 
   void note_loss(const run& r, uint64_t start) {
-    crash_tracker& ledger = this->nodes[r.node].ledger;
+    crash_tracker& tracker = this->nodes[r.node].tracker;
     // The first event is due when the server begins to answer.
     const bool begun = this->now >= r.next || r.passed_some;
-    ledger.add_crash(r.identity, start, {r.done, begun, r.repeated}, this->now);
-    if (r.passed_some) ledger.add_progress(r.identity, r.done, this->now);
+    tracker.add_crash(r.identity, start, {r.done, begun, r.repeated},
+                      this->now);
+    if (r.passed_some) tracker.add_progress(r.identity, r.done, this->now);
     this->counted[r.identity].insert(start);
   }
 
-  void tell() {
+  void gossip() {
     std::vector<crash_spread::message> all;
     for (size_t i = 0; i < this->nodes.size(); ++i) {
       std::vector<std::string> peers = this->names;
       peers.erase(peers.begin() + static_cast<ptrdiff_t>(i));
       for (auto& m : this->nodes[i].spread.next_round(
-               this->nodes[i].ledger, peers, this->random, this->now)) {
+               this->nodes[i].tracker, peers, this->random, this->now)) {
         all.push_back(std::move(m));
       }
     }
     for (const auto& m : all) {
       if (this->random.unit() < 0.02) continue;
       const auto to = std::find(this->names.begin(), this->names.end(), m.peer);
-      for (const auto& news : m.news) {
-        this->nodes[to - this->names.begin()].ledger.take(news, this->now);
+      for (const auto& update : m.updates) {
+        this->nodes[to - this->names.begin()].tracker.merge_update(update,
+                                                                   this->now);
       }
     }
   }
--- a/test/crash-tracker-test.cc
+++ b/test/crash-tracker-test.cc
@@ -9,159 +9,161 @@
 namespace {
 
 const absl::Time start = absl::UnixEpoch();
-const request_identity guilty{1, 10};
+const request_identity crashing{1, 10};
 const server_crash begun{run_progress::start, true, true};
 const server_crash waiting{run_progress::start, false, true};
-const request_identity innocent{1, 11};
+const request_identity harmless{1, 11};
 
 uint64_t server(int i) { return incarnation_hash("s" + std::to_string(i), 1); }
 
-TEST(request_identity, parts_do_not_run_into_each_other) {
+TEST(request_identity, components_are_delimited) {
   EXPECT_NE(identify_request("w", "GET", "h", "/ab", "c"),
             identify_request("w", "GET", "h", "/a", "bc"));
   EXPECT_NE(identify_request("w", "GET", "h", "/a", ""),
             identify_request("v", "GET", "h", "/a", ""));
 }
 
-TEST(crash_tracker, three_servers_that_end_under_a_request_quarantine_it) {
-  crash_tracker ledger;
+TEST(crash_tracker, quarantines_after_three_crashes) {
+  crash_tracker tracker;
   for (int i = 0; i < 2; ++i) {
-    ledger.add_crash(guilty, server(i), begun, start);
+    tracker.add_crash(crashing, server(i), begun, start);
   }
-  EXPECT_FALSE(ledger.quarantined(guilty));
-  ledger.add_crash(guilty, server(1), begun, start);
-  EXPECT_FALSE(ledger.quarantined(guilty)) << "one server counted twice";
-  ledger.add_crash(guilty, server(2), begun, start);
-  EXPECT_TRUE(ledger.quarantined(guilty));
+  EXPECT_FALSE(tracker.quarantined(crashing));
+  tracker.add_crash(crashing, server(1), begun, start);
+  EXPECT_FALSE(tracker.quarantined(crashing)) << "one server counted twice";
+  tracker.add_crash(crashing, server(2), begun, start);
+  EXPECT_TRUE(tracker.quarantined(crashing));
 }
 
-TEST(crash_tracker, one_that_may_have_waited_there_needs_four) {
-  crash_tracker ledger;
+TEST(crash_tracker, needs_four_crashes_if_the_answers_had_not_begun) {
+  crash_tracker tracker;
   for (int i = 0; i < 3; ++i) {
-    ledger.add_crash(guilty, server(i), waiting, start);
+    tracker.add_crash(crashing, server(i), waiting, start);
   }
-  EXPECT_FALSE(ledger.quarantined(guilty));
-  ledger.add_crash(guilty, server(3), waiting, start);
-  EXPECT_TRUE(ledger.quarantined(guilty));
+  EXPECT_FALSE(tracker.quarantined(crashing));
+  tracker.add_crash(crashing, server(3), waiting, start);
+  EXPECT_TRUE(tracker.quarantined(crashing));
 }
 
-TEST(crash_tracker, servers_that_end_at_the_same_moment_prove_nothing) {
-  crash_tracker ledger;
+TEST(crash_tracker, simultaneous_crashes_do_not_quarantine) {
+  crash_tracker tracker;
   for (int i = 0; i < 8; ++i) {
-    ledger.add_crash(innocent, server(i), {run_progress::start, true, false},
-                     start);
+    tracker.add_crash(harmless, server(i), {run_progress::start, true, false},
+                      start);
   }
-  EXPECT_FALSE(ledger.quarantined(innocent));
+  EXPECT_FALSE(tracker.quarantined(harmless));
 }
 
-TEST(crash_tracker, two_guilty_ones_do_not_explain_each_other) {
-  crash_tracker ledger;
+TEST(crash_tracker, two_crashing_requests_do_not_clear_each_other) {
+  crash_tracker tracker;
   const request_identity second{2, 20};
   for (int i = 0; i < 4; ++i) {
-    ledger.add_crash(guilty, server(i), begun, start);
+    tracker.add_crash(crashing, server(i), begun, start);
   }
   for (int i = 0; i < 3; ++i) {
-    ledger.add_crash(second, server(i), begun, start);
+    tracker.add_crash(second, server(i), begun, start);
   }
-  EXPECT_TRUE(ledger.quarantined(guilty));
-  EXPECT_TRUE(ledger.quarantined(second));
+  EXPECT_TRUE(tracker.quarantined(crashing));
+  EXPECT_TRUE(tracker.quarantined(second));
 }
 
-TEST(crash_tracker, the_same_server_started_again_counts_anew) {
+TEST(crash_tracker, restarted_server_counts_again) {
   EXPECT_NE(incarnation_hash("s", 1), incarnation_hash("s", 2));
 }
 
-TEST(crash_tracker, a_run_that_gets_further_clears_a_request) {
-  crash_tracker ledger;
-  ledger.add_crash(innocent, server(0), begun, start);
-  ledger.add_progress(innocent, 4, start);
-  ledger.add_crash(innocent, server(1), server_crash{4, true, true}, start);
-  ledger.add_progress(innocent, 9, start);
-  ledger.add_crash(innocent, server(2), server_crash{9, true, true}, start);
-  EXPECT_EQ(ledger.count(innocent), 1U);
-  EXPECT_FALSE(ledger.quarantined(innocent));
+TEST(crash_tracker, further_progress_clears_a_request) {
+  crash_tracker tracker;
+  tracker.add_crash(harmless, server(0), begun, start);
+  tracker.add_progress(harmless, 4, start);
+  tracker.add_crash(harmless, server(1), server_crash{4, true, true}, start);
+  tracker.add_progress(harmless, 9, start);
+  tracker.add_crash(harmless, server(2), server_crash{9, true, true}, start);
+  EXPECT_EQ(tracker.count(harmless), 1U);
+  EXPECT_FALSE(tracker.quarantined(harmless));
 }
 
-TEST(crash_tracker, one_that_always_ends_servers_at_the_same_event_is_not) {
-  crash_tracker ledger;
+TEST(crash_tracker, quarantines_if_all_crashes_are_at_the_same_event) {
+  crash_tracker tracker;
   for (int i = 0; i < 3; ++i)
-    ledger.add_crash(guilty, server(i), server_crash{7, true, true}, start);
-  EXPECT_TRUE(ledger.quarantined(guilty));
+    tracker.add_crash(crashing, server(i), server_crash{7, true, true}, start);
+  EXPECT_TRUE(tracker.quarantined(crashing));
 }
 
-TEST(crash_tracker, a_whole_answer_lifts_a_quarantine) {
-  crash_tracker ledger;
+TEST(crash_tracker, complete_answer_lifts_quarantine) {
+  crash_tracker tracker;
   for (int i = 0; i < 3; ++i) {
-    ledger.add_crash(innocent, server(i), begun, start);
+    tracker.add_crash(harmless, server(i), begun, start);
   }
-  ASSERT_TRUE(ledger.quarantined(innocent));
-  ledger.add_progress(innocent, run_progress::completed, start);
-  EXPECT_FALSE(ledger.quarantined(innocent));
-  EXPECT_TRUE(ledger.requests_over_threshold().empty());
+  ASSERT_TRUE(tracker.quarantined(harmless));
+  tracker.add_progress(harmless, run_progress::completed, start);
+  EXPECT_FALSE(tracker.quarantined(harmless));
+  EXPECT_TRUE(tracker.requests_over_threshold().empty());
 }
 
-TEST(crash_tracker, one_that_waited_beside_the_guilty_one_is_not_blamed) {
-  crash_tracker ledger;
+TEST(crash_tracker,
+     does_not_quarantine_a_request_queued_beside_a_crashing_one) {
+  crash_tracker tracker;
   for (int i = 0; i < 5; ++i) {
-    ledger.add_crash(guilty, server(i), begun, start);
+    tracker.add_crash(crashing, server(i), begun, start);
   }
   for (int i = 0; i < 4; ++i) {
-    ledger.add_crash(innocent, server(i), waiting, start);
+    tracker.add_crash(harmless, server(i), waiting, start);
   }
-  EXPECT_TRUE(ledger.quarantined(guilty));
-  EXPECT_FALSE(ledger.quarantined(innocent));
+  EXPECT_TRUE(tracker.quarantined(crashing));
+  EXPECT_FALSE(tracker.quarantined(harmless));
 }
 
-TEST(crash_tracker, forgets_what_is_old_and_takes_none_of_it_from_others) {
-  crash_tracker ledger;
+TEST(crash_tracker, drops_expired_evidence_and_rejects_it_from_peers) {
+  crash_tracker tracker;
   for (int i = 0; i < 3; ++i) {
-    ledger.add_crash(guilty, server(i), begun, start);
+    tracker.add_crash(crashing, server(i), begun, start);
   }
-  const auto said = ledger.tell(guilty, start + crash_tracker::retention);
-  ASSERT_TRUE(said);
-  ledger.expire(start + crash_tracker::retention);
-  EXPECT_TRUE(ledger.empty());
-  ledger.take(*said, start + crash_tracker::retention);
-  EXPECT_TRUE(ledger.empty());
-  EXPECT_FALSE(ledger.quarantined(guilty));
-}
-
-TEST(crash_tracker, a_workspace_cannot_push_out_what_is_known_of_others) {
-  crash_tracker ledger;
+  const auto update =
+      tracker.update_for(crashing, start + crash_tracker::retention);
+  ASSERT_TRUE(update);
+  tracker.expire(start + crash_tracker::retention);
+  EXPECT_TRUE(tracker.empty());
+  tracker.merge_update(*update, start + crash_tracker::retention);
+  EXPECT_TRUE(tracker.empty());
+  EXPECT_FALSE(tracker.quarantined(crashing));
+}
+
+TEST(crash_tracker, a_workspace_cannot_evict_all_records_of_others) {
+  crash_tracker tracker;
   for (int i = 0; i < 3; ++i) {
-    ledger.add_crash(guilty, server(i), begun, start);
+    tracker.add_crash(crashing, server(i), begun, start);
   }
   const request_identity other{2, 1};
   for (int i = 0; i < 3; ++i) {
-    ledger.add_crash(other, server(i), begun, start);
+    tracker.add_crash(other, server(i), begun, start);
   }
   for (uint64_t i = 100; i < 3 * crash_tracker::max_requests; ++i) {
-    ledger.add_crash({1, i}, server(0), begun, start + absl::Seconds(1));
+    tracker.add_crash({1, i}, server(0), begun, start + absl::Seconds(1));
   }
-  EXPECT_LE(ledger.size(), crash_tracker::max_requests);
-  EXPECT_TRUE(ledger.quarantined(guilty));
-  EXPECT_TRUE(ledger.quarantined(other));
+  EXPECT_LE(tracker.size(), crash_tracker::max_requests);
+  EXPECT_TRUE(tracker.quarantined(crashing));
+  EXPECT_TRUE(tracker.quarantined(other));
 }
 
-TEST(crash_tracker, many_workspaces_cannot_fill_it_beyond_its_bound) {
-  crash_tracker ledger;
+TEST(crash_tracker, is_bounded_over_many_workspaces) {
+  crash_tracker tracker;
   for (uint64_t i = 0; i < 2 * crash_tracker::max_requests; ++i) {
-    ledger.add_crash({i % 100, i}, server(0), begun, start);
+    tracker.add_crash({i % 100, i}, server(0), begun, start);
   }
-  EXPECT_LE(ledger.size(), crash_tracker::max_requests);
+  EXPECT_LE(tracker.size(), crash_tracker::max_requests);
 }
 
-TEST(crash_tracker, one_told_less_than_is_known_is_told_back) {
-  crash_tracker ledger;
+TEST(crash_tracker, returns_evidence_to_a_peer_with_less) {
+  crash_tracker tracker;
   for (int i = 0; i < 3; ++i) {
-    ledger.add_crash(innocent, server(i), begun, start);
+    tracker.add_crash(harmless, server(i), begun, start);
   }
-  const auto before = ledger.tell(innocent, start);
-  ledger.add_progress(innocent, run_progress::completed, start);
-  ledger.take_changes();
-  ledger.take(*before, start);
-  EXPECT_EQ(ledger.take_changes(), std::vector<request_identity>{innocent});
-  EXPECT_FALSE(ledger.quarantined(innocent));
+  const auto before = tracker.update_for(harmless, start);
+  tracker.add_progress(harmless, run_progress::completed, start);
+  tracker.take_changes();
+  tracker.merge_update(*before, start);
+  EXPECT_EQ(tracker.take_changes(), std::vector<request_identity>{harmless});
+  EXPECT_FALSE(tracker.quarantined(harmless));
 }
 
 /// Evidence on at most as many servers as are kept, so that none is removed.
@@ -186,7 +188,8 @@
       });
 }
 
-RC_GTEST_PROP(crash_evidence, merges_in_any_order_to_the_same, ()) {
+RC_GTEST_PROP(crash_evidence, merge_is_commutative_associative_and_idempotent,
+              ()) {
   const auto a = *any_evidence();
   const auto b = *any_evidence();
   const auto c = *any_evidence();
--- a/test/hall-faults-test.cc
+++ b/test/hall-faults-test.cc
@@ -14,7 +14,7 @@
     EXPECT_EQ(this->hall.violations, std::set<std::string>{});
   }
 
-  bool serves(int groups, absl::Duration limit) {
+  bool all_nodes_serve(int groups, absl::Duration limit) {
     return this->hall.run_until(
         [&] {
           for (size_t i = 0; i < this->hall.nodes.size(); i++) {
@@ -29,7 +29,7 @@
 
   void start(int hosts_per_replica = 2, int replicas = 2, int minimum = 1) {
     this->hall.accept(one_model(hosts_per_replica, replicas, minimum));
-    ASSERT_TRUE(this->serves(replicas, absl::Seconds(30)));
+    ASSERT_TRUE(this->all_nodes_serve(replicas, absl::Seconds(30)));
   }
 
   std::string member(size_t g, size_t rank) {
@@ -51,7 +51,7 @@
   this->hall.kill_host(lost);
   EXPECT_TRUE(this->hall.run_until(
       [&] { return this->hall.open_groups(0, "m") == 1; }, absl::Seconds(2)));
-  EXPECT_TRUE(this->serves(2, absl::Seconds(30)));
+  EXPECT_TRUE(this->all_nodes_serve(2, absl::Seconds(30)));
   const placement after = this->hall.document();
   for (const auto& g : after.groups) {
     for (const auto& host : g.hosts) EXPECT_NE(host, lost);
@@ -67,7 +67,7 @@
   // which takes 5 s.
   const auto limit = limits_config{}.repair_grace + absl::Milliseconds(1500);
   this->hall.run_for(absl::Seconds(1));
-  EXPECT_TRUE(this->serves(2, limit));
+  EXPECT_TRUE(this->all_nodes_serve(2, limit));
 }
 
 TEST_F(hall_faults, a_short_pause_of_a_member_replaces_nothing) {
@@ -75,7 +75,7 @@
   const placement before = this->hall.document();
   this->hall.pause_host(this->member(0, 1), absl::Seconds(2));
   this->hall.run_for(absl::Seconds(5));
-  EXPECT_TRUE(this->serves(2, absl::Seconds(5)));
+  EXPECT_TRUE(this->all_nodes_serve(2, absl::Seconds(5)));
   EXPECT_EQ(this->hall.document().groups, before.groups);
 }
 
@@ -84,27 +84,27 @@
   const std::string lost = this->member(0, 0);
   this->hall.pause_host(lost, absl::Seconds(12));
   this->hall.run_for(absl::Seconds(20));
-  EXPECT_TRUE(this->serves(2, absl::Seconds(20)));
+  EXPECT_TRUE(this->all_nodes_serve(2, absl::Seconds(20)));
   EXPECT_EQ(this->hall.hosts[lost].report.group, "");
 }
 
-TEST_F(hall_faults, a_member_that_comes_back_empty_is_loaded_again) {
+TEST_F(hall_faults, a_member_that_returns_without_weights_is_reloaded) {
   this->start();
   const std::string host = this->member(1, 1);
   this->hall.kill_host(host);
   this->hall.run_for(absl::Milliseconds(300));
   this->hall.revive_host(host);
-  EXPECT_TRUE(this->serves(2, absl::Seconds(30)));
+  EXPECT_TRUE(this->all_nodes_serve(2, absl::Seconds(30)));
 }
 
 TEST_F(hall_faults, two_losses_at_once_are_repaired) {
   this->start();
   this->hall.kill_host(this->member(0, 0));
   this->hall.kill_host(this->member(1, 1));
-  EXPECT_TRUE(this->serves(2, absl::Seconds(40)));
+  EXPECT_TRUE(this->all_nodes_serve(2, absl::Seconds(40)));
 }
 
-TEST_F(hall_faults, a_dark_domain_moves_its_group_and_comes_back_free) {
+TEST_F(hall_faults, a_failed_domain_has_its_group_replaced) {
   this->start(2, 2);
   const std::string domain = this->hall.hosts[this->member(0, 0)].info.domain;
   for (auto& [name, host] : this->hall.hosts) {
@@ -121,10 +121,10 @@
     this->hall.pause_host(host, absl::Milliseconds(700));
     this->hall.run_for(absl::Milliseconds(1400));
   }
-  EXPECT_TRUE(this->serves(2, absl::Seconds(30)));
+  EXPECT_TRUE(this->all_nodes_serve(2, absl::Seconds(30)));
 }
 
-TEST_F(hall_faults, a_killed_holder_is_followed_under_a_higher_number) {
+TEST_F(hall_faults, a_killed_holder_is_replaced_with_a_higher_fence) {
   this->start();
   const int64_t before = this->hall.document().fence;
   const int holder = this->hall.leader();
@@ -133,10 +133,10 @@
   EXPECT_TRUE(this->hall.run_until(
       [&] { return this->hall.document().fence > before; }, absl::Seconds(15)));
   this->hall.kill_host(this->member(0, 0));
-  EXPECT_TRUE(this->serves(2, absl::Seconds(40)));
+  EXPECT_TRUE(this->all_nodes_serve(2, absl::Seconds(40)));
 }
 
-TEST_F(hall_faults, a_holder_paused_past_its_lease_changes_nothing_after) {
+TEST_F(hall_faults, a_holder_paused_past_its_lease_does_not_interfere) {
   this->start();
   const int holder = this->hall.leader();
   ASSERT_GE(holder, 0);
@@ -145,10 +145,10 @@
   EXPECT_NE(this->hall.leader(), -1);
   this->hall.kill_host(this->member(0, 0));
   this->hall.run_for(absl::Seconds(20));
-  EXPECT_TRUE(this->serves(2, absl::Seconds(20)));
+  EXPECT_TRUE(this->all_nodes_serve(2, absl::Seconds(20)));
 }
 
-TEST_F(hall_faults, a_holder_cut_from_the_platform_gives_way) {
+TEST_F(hall_faults, a_holder_cut_from_the_platform_is_replaced) {
   this->start();
   const int holder = this->hall.leader();
   ASSERT_GE(holder, 0);
@@ -173,10 +173,10 @@
   this->hall.kill_host(this->member(0, 0));
   this->hall.run_for(absl::Seconds(30));
   this->hall.nodes[static_cast<size_t>(holder)].cut_from_peers = false;
-  EXPECT_TRUE(this->serves(2, absl::Seconds(30)));
+  EXPECT_TRUE(this->all_nodes_serve(2, absl::Seconds(30)));
 }
 
-TEST_F(hall_faults, groups_serve_on_while_the_platform_is_away) {
+TEST_F(hall_faults, groups_serve_during_a_platform_outage) {
   this->start();
   this->hall.platform_down = true;
   this->hall.run_for(absl::Seconds(60));
@@ -184,19 +184,19 @@
   this->hall.platform_down = false;
   this->hall.run_for(absl::Seconds(10));
   this->hall.kill_host(this->member(0, 0));
-  EXPECT_TRUE(this->serves(2, absl::Seconds(40)));
+  EXPECT_TRUE(this->all_nodes_serve(2, absl::Seconds(40)));
 }
 
-TEST_F(hall_faults, lost_answers_of_the_platform_change_nothing_twice) {
+TEST_F(hall_faults, lost_platform_responses_do_not_repeat_changes) {
   this->hall.lose_answers = 6;
   this->start();
   this->hall.lose_answers = 4;
   this->hall.kill_host(this->member(0, 0));
-  EXPECT_TRUE(this->serves(2, absl::Seconds(60)));
+  EXPECT_TRUE(this->all_nodes_serve(2, absl::Seconds(60)));
   EXPECT_EQ(this->hall.document().groups.size(), 2U);
 }
 
-TEST_F(hall_faults, a_late_order_of_an_old_holder_opens_nothing) {
+TEST_F(hall_faults, a_late_order_of_a_previous_holder_opens_nothing) {
   this->start();
   // The orders of the first lease holder arrive after it has lost the lease.
   this->hall.order_delay = absl::Seconds(9);
@@ -207,10 +207,10 @@
   this->hall.kill_node(static_cast<size_t>(holder));
   this->hall.order_delay = absl::Milliseconds(1);
   this->hall.run_for(absl::Seconds(30));
-  EXPECT_TRUE(this->serves(2, absl::Seconds(30)));
+  EXPECT_TRUE(this->all_nodes_serve(2, absl::Seconds(30)));
 }
 
-TEST_F(hall_faults, a_leaving_host_gets_no_new_work_within_three_seconds) {
+TEST_F(hall_faults, a_leaving_host_is_out_of_service_after_three_seconds) {
   this->start();
   const std::string host = this->member(0, 1);
   this->hall.set_leaving(host);
@@ -223,35 +223,35 @@
       EXPECT_FALSE(has && group_open(state, g, this->hall.now));
     }
   }
-  EXPECT_TRUE(this->serves(2, absl::Seconds(40)));
+  EXPECT_TRUE(this->all_nodes_serve(2, absl::Seconds(40)));
 }
 
-TEST_F(hall_faults, a_leaving_host_gets_none_even_if_no_placement_can_change) {
+TEST_F(hall_faults, a_leaving_host_gets_no_requests_during_a_platform_outage) {
   this->start();
-  const group going = this->hall.document().groups.at(0);
-  this->hall.set_leaving(going.hosts.at(1));
+  const group leaving_group = this->hall.document().groups.at(0);
+  this->hall.set_leaving(leaving_group.hosts.at(1));
   this->hall.run_for(absl::Milliseconds(10));
   this->hall.platform_down = true;
   this->hall.run_for(absl::Seconds(3));
   for (int i = 0; i < 30; i++) this->hall.request(0, "m", true);
   this->hall.run_for(absl::Milliseconds(20));
-  EXPECT_EQ(this->hall.hosts[going.hosts.at(0)].running, 0);
+  EXPECT_EQ(this->hall.hosts[leaving_group.hosts.at(0)].running, 0);
   EXPECT_GT(this->hall.hosts[this->member(1, 0)].running, 0);
 }
 
-TEST_F(hall_faults, a_changeover_keeps_the_minimum_and_cuts_nothing_off) {
+TEST_F(hall_faults, a_version_change_keeps_the_minimum_and_aborts_nothing) {
   this->start(2, 2, 1);
   configuration next = one_model(2, 2, 1);
   next.models[0].version = "2";
   this->hall.accept(next);
-  int least = 2;
+  int min_open = 2;
   std::vector<uint64_t> sent;
   for (int i = 0; i < 400; i++) {
     sent.push_back(this->hall.request(0, "m", false));
     this->hall.run_for(absl::Milliseconds(100));
-    least = std::min(least, this->hall.open_groups(0, "m"));
+    min_open = std::min(min_open, this->hall.open_groups(0, "m"));
   }
-  EXPECT_GE(least, 1);
+  EXPECT_GE(min_open, 1);
   for (const auto& g : this->hall.document().groups) {
     EXPECT_EQ(g.version, "2");
     EXPECT_EQ(g.phase, group_phase::serving);
@@ -263,7 +263,7 @@
   }
 }
 
-TEST_F(hall_faults, requests_through_a_dying_group_are_told_the_truth) {
+TEST_F(hall_faults, requests_to_a_failing_group_get_correct_outcomes) {
   this->start();
   for (int i = 0; i < 100; i++) {
     // A burst when the host is killed, so that repeatable and other requests
@@ -291,7 +291,7 @@
   EXPECT_GT(failed, 0);
 }
 
-TEST_F(hall_faults, a_planned_stop_lets_requests_end) {
+TEST_F(hall_faults, a_planned_stop_completes_requests) {
   this->start();
   const uint64_t id = this->hall.request(1, "m", false);
   this->hall.run_for(absl::Milliseconds(50));
@@ -304,7 +304,7 @@
   EXPECT_EQ(this->hall.requests[id].ends[0].kind, outcome_kind::answered);
 }
 
-TEST_F(hall_faults, a_node_started_in_an_outage_takes_its_peers_revision) {
+TEST_F(hall_faults, a_node_started_in_an_outage_adopts_its_peers_revision) {
   this->start();
   this->hall.platform_down = true;
   this->hall.kill_node(2);
--- a/test/limit-fleet-test.cc
+++ b/test/limit-fleet-test.cc
@@ -30,7 +30,7 @@
 /// limit is first advertised. A node counts as informed `informed_after` after
 /// a server's answer first carried the limit.
 constexpr absl::Duration window = absl::Seconds(4);
-constexpr absl::Duration report_suspect = absl::Seconds(3);
+constexpr absl::Duration notice_period = absl::Seconds(3);
 constexpr absl::Duration informed_after = absl::Milliseconds(500);
 
 double allowed(double per_s) {
@@ -76,7 +76,7 @@
         random{std::mt19937_64(seed)},
         nodes(static_cast<size_t>(count)) {
     for (auto& n : this->nodes) {
-      n.began = start - absl::Hours(1);
+      n.started_at = start - absl::Hours(1);
       this->names.push_back(absl::StrCat(this->names.size()));
     }
   }
@@ -87,20 +87,20 @@
   }
 
   /// Sets the limit that all servers advertise; nothing ends it.
-  void set_limit(std::optional<double> takes) { this->per_s = takes; }
+  void set_limit(std::optional<double> limit) { this->per_s = limit; }
 
   /// Maximum number of requests that a server received within a window from
   /// nodes that it had informed of the limit itself.
-  int most_in_a_window() const { return most_of(this->sent_when_informed); }
+  int max_in_a_window() const { return max_of(this->sent_when_informed); }
   /// The same from all nodes.
-  int most_of_all_in_a_window() const { return most_of(this->sent); }
+  int max_of_all_in_a_window() const { return max_of(this->sent); }
 
   /// Mean rate per server after the notice period, in requests per second.
   double used_per_s() const {
     size_t out = 0;
     for (const auto& times : this->sent) out += times.size();
     const double seconds =
-        absl::ToDoubleSeconds(this->now - start - report_suspect);
+        absl::ToDoubleSeconds(this->now - start - notice_period);
     return static_cast<double>(out) / servers / seconds;
   }
   /// Number of nodes that know a server's limit.
@@ -110,13 +110,13 @@
           return n.limits.find(name_of(server)).has_value();
         }));
   }
-  int64_t passed_over = 0;
+  int64_t skipped = 0;
 
  private:
   static constexpr int servers = 3;
   using send_times = std::vector<std::vector<absl::Time>>;
 
-  static int most_of(const send_times& sent) {
+  static int max_of(const send_times& sent) {
     int most = 0;
     for (const auto& times : sent) {
       size_t first = 0;
@@ -130,10 +130,10 @@
 
   struct node {
     server_limits limits;
-    grant_client allowance;
-    grant_issuer ledger;
+    grant_client client;
+    grant_issuer issuer;
     limit_share shares;
-    absl::Time began;
+    absl::Time started_at;
     limit_spread spread;
     /// When an answer of each server first carried a limit.
     std::map<server_instance, absl::Time> informed_at;
@@ -147,8 +147,8 @@
     absl::Time sent;
     /// Messages only.
     size_t from = 0;
-    grant_request asked;
-    std::optional<grant_response> given;
+    grant_request request;
+    std::optional<grant_response> response;
     std::vector<limit_report> reports;
   };
 
@@ -157,11 +157,11 @@
   }
 
   std::optional<int> known_nodes(const node& n) const {
-    if (this->now - n.began < count_time) return std::nullopt;
+    if (this->now - n.started_at < count_time) return std::nullopt;
     return static_cast<int>(this->nodes.size());
   }
 
-  void later(absl::Duration delay, event e) {
+  void schedule(absl::Duration delay, event e) {
     this->pending_events.emplace(this->now + delay, std::move(e));
   }
 
@@ -170,40 +170,41 @@
     const node& to = this->nodes[e.node];
     if (this->split && from.in_first_half != to.in_first_half) return;
     if (this->random.unit() < this->faults.lost) return;
-    this->later(this->random.unit() * absl::Milliseconds(20), std::move(e));
+    this->schedule(this->random.unit() * absl::Milliseconds(20), std::move(e));
   }
 
-  grant_response grant(node& holder, const grant_request& asked) {
-    for (const auto& known : asked.limits) holder.limits.take(known, this->now);
-    return holder.ledger.answer(
-        asked,
+  grant_response grant(node& holder, const grant_request& request) {
+    for (const auto& stored : request.limits)
+      holder.limits.merge_report(stored, this->now);
+    return holder.issuer.grant(
+        request,
         [&](const server_request_count& wanted) {
-          const auto takes =
+          const auto limit =
               holder.limits.find({wanted.server, wanted.incarnation});
-          return takes ? bucket_for_limit(*takes) : token_bucket_params();
+          return limit ? bucket_for_limit(*limit) : token_bucket_params();
         },
         this->now);
   }
 
-  void ask(size_t i) {
+  void send_request(size_t i) {
     node& n = this->nodes[i];
-    n.allowance.expire(this->now);
-    if (!n.allowance.request_due(this->now)) return;
-    grant_request asked = n.allowance.ask(++this->nonce, this->now);
-    for (const auto& wanted : asked.wanted) {
-      const auto known =
+    n.client.expire(this->now);
+    if (!n.client.request_due(this->now)) return;
+    grant_request request = n.client.make_request(++this->nonce, this->now);
+    for (const auto& wanted : request.wanted) {
+      const auto stored =
           n.limits.report({wanted.server, wanted.incarnation}, this->now);
-      if (known) asked.limits.push_back(*known);
+      if (stored) request.limits.push_back(*stored);
     }
     if (!this->holder) return;
     if (*this->holder == i) {
-      n.allowance.take(this->grant(n, asked), this->now);
+      n.client.accept_response(this->grant(n, request), this->now);
       return;
     }
     event e;
     e.node = *this->holder;
     e.from = i;
-    e.asked = std::move(asked);
+    e.request = std::move(request);
     this->send_message(std::move(e));
   }
 
@@ -211,8 +212,8 @@
   bool try_send(size_t i, int server) {
     node& n = this->nodes[i];
     const server_instance to = name_of(server);
-    const auto takes = n.limits.find(to);
-    if (!takes || this->mutated == mutation::ignore_limits) return true;
+    const auto limit = n.limits.find(to);
+    if (!limit || this->mutated == mutation::ignore_limits) return true;
     const auto nodes = this->known_nodes(n);
     random_stream same{std::mt19937_64(1)};
     random_stream& drawn =
@@ -220,11 +221,11 @@
     const int sharing =
         this->mutated == mutation::undivided_share ? 1 : nodes.value_or(0);
     const bool own = nodes &&
-                     n.shares.has(to, *takes, sharing, this->now, drawn) &&
+                     n.shares.has(to, *limit, sharing, this->now, drawn) &&
                      n.shares.use(to, this->now);
-    const bool may = own || n.allowance.use(to.server, this->now);
-    n.allowance.add_demand(to.server, to.incarnation,
-                           grant_client::max_limited_requests);
+    const bool may = own || n.client.use(to.server, this->now);
+    n.client.add_demand(to.server, to.incarnation,
+                        grant_client::max_limited_requests);
     return may;
   }
 
@@ -241,24 +242,24 @@
     }
   }
 
-  void act(size_t i) {
+  void run_node(size_t i) {
     node& n = this->nodes[i];
     const double seconds = absl::ToDoubleSeconds(step);
     if (this->random.unit() < this->faults.restarts * seconds) {
       n = node();
-      n.began = this->now;
+      n.started_at = this->now;
       if (this->holder == i) this->end_term();
     }
     for (int s = 0; s < servers; ++s) {
       if (this->random.unit() >= this->demand * seconds) continue;
       if (!this->try_send(i, s)) {
-        ++this->passed_over;
+        ++this->skipped;
         continue;
       }
       const auto informed_at = n.informed_at.find(name_of(s));
       const bool informed = informed_at != n.informed_at.end() &&
                             this->now - informed_at->second >= informed_after;
-      if (this->now - start >= report_suspect && this->per_s) {
+      if (this->now - start >= notice_period && this->per_s) {
         this->sent[static_cast<size_t>(s)].push_back(this->now);
         if (informed) {
           this->sent_when_informed[static_cast<size_t>(s)].push_back(this->now);
@@ -269,44 +270,45 @@
       e.server = name_of(s);
       e.advertised = this->per_s;
       e.sent = this->now;
-      this->later(answer_time, std::move(e));
+      this->schedule(answer_time, std::move(e));
     }
-    this->ask(i);
+    this->send_request(i);
     if (!n.limits.empty() && (this->now - start) % gossip_period < step) {
       this->gossip(i);
     }
   }
 
-  void take(const event& e) {
+  void handle(const event& e) {
     node& n = this->nodes[e.node];
     if (e.server) {
       n.limits.note_answer(*e.server, e.advertised, e.sent, this->now);
       if (e.advertised) n.informed_at.emplace(*e.server, this->now);
     } else if (!e.reports.empty()) {
-      for (const auto& report : e.reports) n.limits.take(report, this->now);
-    } else if (e.given) {
-      n.allowance.take(*e.given, this->now);
+      for (const auto& report : e.reports)
+        n.limits.merge_report(report, this->now);
+    } else if (e.response) {
+      n.client.accept_response(*e.response, this->now);
     } else if (this->holder == e.node) {
-      event answer;
-      answer.node = e.from;
-      answer.from = e.node;
-      answer.given = this->grant(n, e.asked);
-      this->send_message(std::move(answer));
+      event reply;
+      reply.node = e.from;
+      reply.from = e.node;
+      reply.response = this->grant(n, e.request);
+      this->send_message(std::move(reply));
     }
   }
 
   void end_term() {
-    this->nodes[*this->holder].ledger.end_term();
+    this->nodes[*this->holder].issuer.end_term();
     this->holder.reset();
   }
 
-  void keep_lease() {
+  void update_lease() {
     if (this->now < this->next_change) return;
     if (this->holder) this->end_term();
     this->next_change = this->now + absl::Seconds(1 + 4 * this->random.unit());
     if (this->random.unit() < this->faults.no_holder) return;
     this->holder = this->random.below(this->nodes.size());
-    this->nodes[*this->holder].ledger.begin_term(this->now);
+    this->nodes[*this->holder].issuer.begin_term(this->now);
     if (this->faults.no_holder == 0) this->next_change = absl::InfiniteFuture();
   }
 
@@ -318,15 +320,15 @@
 
   void advance() {
     this->now += step;
-    this->keep_lease();
+    this->update_lease();
     this->split_or_heal();
     while (!this->pending_events.empty() &&
            this->pending_events.begin()->first <= this->now) {
       const event e = this->pending_events.begin()->second;
       this->pending_events.erase(this->pending_events.begin());
-      this->take(e);
+      this->handle(e);
     }
-    for (size_t i = 0; i < this->nodes.size(); ++i) this->act(i);
+    for (size_t i = 0; i < this->nodes.size(); ++i) this->run_node(i);
   }
 
   std::optional<double> per_s;
@@ -359,7 +361,7 @@
       limit_fleet fleet(nodes, per_s, overload_demand(nodes, per_s), {},
                         mutation::none, 1);
       fleet.run(absl::Seconds(12));
-      EXPECT_LE(fleet.most_of_all_in_a_window(), allowed(per_s))
+      EXPECT_LE(fleet.max_of_all_in_a_window(), allowed(per_s))
           << nodes << " nodes, " << per_s;
     }
   }
@@ -374,7 +376,7 @@
         limit_fleet fleet(nodes, per_s, overload_demand(nodes, per_s),
                           all_faults, mutation::none, seed);
         fleet.run(absl::Seconds(15));
-        EXPECT_LE(fleet.most_in_a_window(), allowed(per_s))
+        EXPECT_LE(fleet.max_in_a_window(), allowed(per_s))
             << nodes << " nodes, " << per_s << ", seed " << seed;
       }
     }
@@ -392,27 +394,27 @@
   limit_fleet fleet(nodes, per_s, overload_demand(nodes, per_s), t,
                     mutation::none, *rc::gen::arbitrary<uint64_t>());
   fleet.run(absl::Seconds(8));
-  RC_ASSERT(fleet.most_in_a_window() <= allowed(per_s));
+  RC_ASSERT(fleet.max_in_a_window() <= allowed(per_s));
 }
 
 TEST(limit_fleet, bound_breaks_if_limits_are_ignored) {
   for (const int nodes : {9, 83}) {
     limit_fleet fleet(nodes, 1.4, 4, {}, mutation::ignore_limits, 1);
     fleet.run(absl::Seconds(10));
-    EXPECT_GT(fleet.most_in_a_window(), allowed(1.4));
+    EXPECT_GT(fleet.max_in_a_window(), allowed(1.4));
   }
 }
 
 TEST(limit_fleet, bound_breaks_if_shares_are_not_divided) {
   limit_fleet fleet(83, 5, 5, {}, mutation::undivided_share, 1);
   fleet.run(absl::Seconds(10));
-  EXPECT_GT(fleet.most_in_a_window(), allowed(5));
+  EXPECT_GT(fleet.max_in_a_window(), allowed(5));
 }
 
 TEST(limit_fleet, bound_breaks_if_slots_are_aligned) {
   limit_fleet fleet(295, 5, 10, {0, 1, 0, false}, mutation::aligned_slots, 1);
   fleet.run(absl::Seconds(250));
-  EXPECT_GT(fleet.most_in_a_window(), allowed(5));
+  EXPECT_GT(fleet.max_in_a_window(), allowed(5));
 }
 
 // Guards against servers that receive far less than their limit.
@@ -445,7 +447,7 @@
 TEST(limit_fleet, a_limit_above_demand_hardly_throttles) {
   limit_fleet fleet(9, 200, 5, {}, mutation::none, 1);
   fleet.run(absl::Seconds(20));
-  EXPECT_LT(fleet.passed_over, 0.1 * 9 * 5 * 3 * 20);
+  EXPECT_LT(fleet.skipped, 0.1 * 9 * 5 * 3 * 20);
 }
 
 // Guards against limits that stay in effect after the server ends them.
@@ -456,9 +458,9 @@
       fleet.run(absl::Seconds(10));
       fleet.set_limit(std::nullopt);
       fleet.run(absl::Seconds(12));
-      const int64_t before = fleet.passed_over;
+      const int64_t before = fleet.skipped;
       fleet.run(absl::Seconds(5));
-      EXPECT_EQ(fleet.passed_over, before) << nodes << " nodes, " << per_s;
+      EXPECT_EQ(fleet.skipped, before) << nodes << " nodes, " << per_s;
     }
   }
 }
--- a/test/server-limit-test.cc
+++ b/test/server-limit-test.cc
@@ -13,7 +13,7 @@
 /// Length of the window in which a platform counts a server's requests.
 constexpr absl::Duration window = absl::Seconds(4);
 /// Time that nodes have to comply after a limit is first advertised.
-constexpr absl::Duration report_suspect = absl::Seconds(3);
+constexpr absl::Duration notice_period = absl::Seconds(3);
 
 /// Maximum number of requests to a server within a window.
 double allowed(double per_s) {
@@ -65,12 +65,12 @@
 
   /// Maximum number of requests that one server received in a window after the
   /// notice period.
-  int most_in_a_window() {
+  int max_in_a_window() {
     const auto arrivals =
         this->on_loop([this] { return this->fleet->record.arrivals; });
     std::map<std::string, std::vector<absl::Time>> times;
     for (const auto& arrival : arrivals) {
-      if (arrival.at < this->advertised_at + report_suspect) continue;
+      if (arrival.at < this->advertised_at + notice_period) continue;
       times[arrival.server].push_back(arrival.at);
     }
     int most = 0;
@@ -90,27 +90,27 @@
 };
 
 // Guards against a combined load above the advertised limit.
-TEST_F(server_limit_test, groups_get_no_more_than_their_heads_name) {
+TEST_F(server_limit_test, groups_get_no_more_than_their_limit) {
   this->start(node_count);
   this->advertise_limit("lm", "1.4");
-  this->send_load(report_suspect + window, stream_request);
-  EXPECT_LE(this->most_in_a_window(), allowed(1.4));
+  this->send_load(notice_period + window, stream_request);
+  EXPECT_LE(this->max_in_a_window(), allowed(1.4));
   EXPECT_GT(this->served, 0);
 }
 
 // Guards against the same overload of servers without groups.
-TEST_F(server_limit_test, plain_servers_get_no_more_than_they_name) {
+TEST_F(server_limit_test, plain_servers_get_no_more_than_their_limit) {
   this->start(node_count);
   this->advertise_limit("status", "1.4");
-  this->send_load(report_suspect + window, [](const std::string& id) {
+  this->send_load(notice_period + window, [](const std::string& id) {
     return request(id, "/look/now");
   });
-  EXPECT_LE(this->most_in_a_window(), allowed(1.4));
+  EXPECT_LE(this->max_in_a_window(), allowed(1.4));
   EXPECT_GT(this->served, 0);
 }
 
 // Guards against refusals without a usable Retry-After.
-TEST_F(server_limit_test, refusals_say_when_to_come_back) {
+TEST_F(server_limit_test, refusals_have_retry_after) {
   this->start(node_count);
   this->advertise_limit("lm", "1");
   for (int i = 0; i < 60; ++i) {
