--- a/include/spokesail/crash-spread.h
+++ b/include/spokesail/crash-spread.h
@@ -49,7 +49,7 @@
   explicit crash_spread(std::string self) : self(std::move(self)) {}
 
   /// Returns the messages of the next round to `peers`, the nodes known to be
-  /// alive. Consumes the changes recorded in `ledger`.
+  /// alive. Consumes the changes recorded in `tracker`.
   std::vector<message> next_round(crash_tracker& tracker,
                                   const std::vector<std::string>& peers,
                                   random_stream& random, absl::Time now);
--- a/include/spokesail/crash-tracker.h
+++ b/include/spokesail/crash-tracker.h
@@ -28,7 +28,7 @@
 /// which more servers crashed. A crash counts for less if the server had not
 /// begun to answer the request.
 ///
-/// In a simulation without any crashing request (200 days of 35 s, 9 nodes, 12
+/// In a simulation without a crashing request (200 runs of 35 s, 9 nodes, 12
 /// groups of which one crashes every 1.7 s and two in five crash together),
 /// quarantine after a plain count of three crashes refuses 1,691 of 1.4 million
 /// requests, after three crashes that no attempt got past 9, and this class
@@ -53,8 +53,8 @@
   static constexpr absl::Duration retention = absl::Minutes(30);
   /// Maximum number of requests that are kept, each of at most 1 KB.
   static constexpr size_t max_requests = 8192;
-  /// A workspace can have this fraction of them (1/4), so that it cannot evict
-  /// all requests of the others.
+  /// A workspace can have at most 1/4 of them, so that it cannot evict all
+  /// requests of the others.
   static constexpr size_t workspace_divisor = 4;
 
   /// Records that a server crashed under a request.
@@ -138,6 +138,7 @@
   std::map<uint64_t, size_t> by_workspace;
   /// Requests with enough crashes to be quarantined.
   std::set<request_identity> over_threshold;
+  /// Requests that take_changes() returns next.
   std::set<request_identity> changes;
 };
 
--- a/include/spokesail/grant-client.h
+++ b/include/spokesail/grant-client.h
@@ -30,8 +30,9 @@
   explicit grant_client(grant_timing timing = {})
       : timing(timing), request_interval(timing.min_request_interval) {}
 
-  /// Records demand for one more request to a server, up to `most` until the
-  /// next grant request. Ignored if `max_servers` other servers have demand.
+  /// Records demand for one more request to a server, up to `max_count` until
+  /// the next grant request. Ignored if `max_servers` other servers have
+  /// demand.
   void add_demand(const std::string& server, int64_t incarnation,
                   int max_count = max_requests);
 
--- a/src/crash-gossip.h
+++ b/src/crash-gossip.h
@@ -39,7 +39,8 @@
   crash_spread spread;
   /// When the digest was last sent.
   absl::Time digest_sent_at = absl::InfinitePast();
-  /// Whether a peer has answered since this node started.
+  /// Whether a peer has answered since this node started. Until then the digest
+  /// is sent in every round, so that a restarted node catches up at once.
   bool has_synced = false;
   /// Requests in quarantine when they were last logged.
   std::set<request_identity> quarantined;
--- a/src/grant-issuer.cc
+++ b/src/grant-issuer.cc
@@ -22,7 +22,7 @@
 constexpr double min_grant_rate = 0.2;
 
 /// The burst of a limit's bucket is what the rate yields in this time, so that
-/// nodes that ask at the same time can be granted requests together.
+/// nodes that request grants at the same time need not wait for each other.
 constexpr absl::Duration burst_window = absl::Milliseconds(500);
 
 }  // namespace
--- a/test/crash-fleet-test.cc
+++ b/test/crash-fleet-test.cc
@@ -16,74 +16,81 @@
 
 constexpr absl::Duration step = absl::Milliseconds(10);
 constexpr absl::Duration round_period = absl::Milliseconds(100);
-constexpr absl::Duration day = absl::Seconds(35);
-constexpr absl::Duration outage = absl::Seconds(6);
+constexpr absl::Duration simulated_time = absl::Seconds(35);
+constexpr absl::Duration restart_time = absl::Seconds(6);
 constexpr absl::Duration event_period = absl::Milliseconds(70);
-constexpr absl::Duration usual_first = absl::Milliseconds(200);
+constexpr absl::Duration mean_first_event_time = absl::Milliseconds(200);
 constexpr absl::Duration crash_delay = absl::Milliseconds(60);
-/// Innocent requests: 200 per second.
+/// Harmless requests per step: 200 per second.
 constexpr int arrivals_per_step = 2;
-constexpr int sends_per_attempt = 2;
-constexpr int attempts = 2;
+/// Attempts of a node for one submission of a request.
+constexpr int max_attempts = 2;
+/// Submissions of a request by its caller.
+constexpr int max_submissions = 2;
 
-struct day_shape {
+/// A crashing request crashes each group that runs it; the other requests are
+/// harmless.
+struct simulation_options {
   int nodes = 9;
   int groups = 12;
-
-  /// Attempts per second of all guilty requests together.
-  double guilty_per_s = 0;
-  /// Number of different guilty requests.
-  int guilty = 1;
+  /// Submissions per second of all crashing requests together.
+  double crashing_per_s = 0;
+  /// Number of different crashing requests.
+  int crashing = 1;
   /// Crashes of single groups per second.
   double crashes_per_s = 0.3;
   /// Fraction of the groups that crash at the same time, at second 15.
-  double crash_at_once = 0;
-  /// Fraction of the innocent requests that have the same content.
-  double hot_share = 0;
+  double common_crash_fraction = 0;
+  /// Fraction of the harmless requests that have the same content.
+  double same_content_fraction = 0;
 };
 
-struct day_result {
+struct simulation_result {
+  /// Harmless requests.
   int sent = 0;
-  int innocent_refused = 0;
-  /// Innocent requests that a plain count of three crashes would have refused.
+  int harmless_refused = 0;
+  /// Harmless requests that a plain count of three crashes would have refused.
   int refused_by_count = 0;
-  int guilty_crashes = 0;
-  int sends_after_time_to_know = 0;
+  /// Maximum number of crashes by one crashing request.
+  int max_crashes = 0;
+  /// Attempts of crashing requests more than 3 s after enough crashes for a
+  /// quarantine.
+  int late_attempts = 0;
 };
 
-class crash_day {
+class crash_simulation {
  public:
-  crash_day(const day_shape& shape, uint64_t seed)
-      : shape(shape), random{std::mt19937_64(seed)} {
-    for (int i = 0; i < shape.nodes; ++i) {
+  crash_simulation(const simulation_options& options, uint64_t seed)
+      : options(options), random{std::mt19937_64(seed)} {
+    for (int i = 0; i < options.nodes; ++i) {
       this->names.push_back(absl::StrCat("n", i));
       this->nodes.push_back({{}, crash_spread(this->names.back())});
     }
-    this->groups.resize(static_cast<size_t>(shape.groups));
+    this->groups.resize(static_cast<size_t>(options.groups));
   }
 
-  day_result play() {
-    while (this->now < absl::UnixEpoch() + day) this->advance();
+  simulation_result simulate() {
+    while (this->now < absl::UnixEpoch() + simulated_time) this->advance();
     return this->result;
   }
 
  private:
-  struct run {
+  struct request_state {
     request_identity identity;
-    bool guilty = false;
+    bool crashing = false;
     size_t node = 0;
     size_t group = 0;
     int events = 0;
-    int done = -1;
-    int sends = 0;
-    int attempt = 0;
-    bool passed_some = false;
+    int last_event = -1;
+    int attempts = 0;
+    int submissions = 0;
+    bool has_events = false;
     bool repeated = false;
     absl::Time next;
   };
   struct group {
-    absl::Time back = absl::InfinitePast();
-    int64_t start = 1;
+    absl::Time up_at = absl::InfinitePast();
+    int64_t incarnation = 1;
   };
   struct node {
     crash_tracker tracker;
@@ -93,97 +100,98 @@
   double exponential(double mean) {
     return -mean * std::log(1 - this->random.unit());
   }
-  bool happens(double per_s) {
+  bool occurs(double per_s) {
     return this->random.unit() < per_s * absl::ToDoubleSeconds(step);
   }
 
   void advance() {
     this->now += step;
     for (int i = 0; i < arrivals_per_step; ++i) this->arrive(false);
-    if (this->happens(this->shape.guilty_per_s)) this->arrive(true);
-    if (this->happens(this->shape.crashes_per_s)) {
+    if (this->occurs(this->options.crashing_per_s)) this->arrive(true);
+    if (this->occurs(this->options.crashes_per_s)) {
       this->crash({this->random.below(this->groups.size())});
     }
     if (this->now == absl::UnixEpoch() + absl::Seconds(15)) {
-      std::set<size_t> at_once;
+      std::set<size_t> crashed_together;
       for (size_t g = 0; g < this->groups.size(); ++g) {
-        if (this->random.unit() < this->shape.crash_at_once) at_once.insert(g);
+        if (this->random.unit() < this->options.common_crash_fraction)
+          crashed_together.insert(g);
       }
-      this->crash(at_once);
+      this->crash(crashed_together);
     }
-    this->move_runs();
+    this->advance_requests();
     if ((this->now - absl::UnixEpoch()) % round_period == absl::ZeroDuration())
       this->gossip();
   }
 
-  void arrive(bool guilty) {
-    run r;
-    r.guilty = guilty;
-    const bool hot = !guilty && this->random.unit() < this->shape.hot_share;
-    if (guilty) {
+  void arrive(bool crashing) {
+    request_state r;
+    r.crashing = crashing;
+    const bool same_content =
+        !crashing && this->random.unit() < this->options.same_content_fraction;
+    if (crashing) {
       r.identity = {
-          7, this->random.below(static_cast<uint64_t>(this->shape.guilty))};
+          7, this->random.below(static_cast<uint64_t>(this->options.crashing))};
     } else {
-      r.identity = {1, hot ? 0 : ++this->count};
+      r.identity = {1, same_content ? 0 : ++this->last_content};
       ++this->result.sent;
     }
     r.events = 1 + static_cast<int>(this->exponential(27));
-    this->attempt(r);
+    this->submit(r);
   }
 
-  /// Sends the request to a random node as a new attempt.
-  void attempt(run r) {
+  /// Submits the request to a random node.
+  void submit(request_state r) {
     r.node = this->random.below(this->nodes.size());
-    r.sends = 0;
-    ++r.attempt;
+    r.attempts = 0;
+    ++r.submissions;
     this->send(r);
   }
 
-  void send(run r) {
+  void send(request_state r) {
     if (this->nodes[r.node].tracker.quarantined(r.identity)) {
-      if (!r.guilty) ++this->result.innocent_refused;
+      if (!r.crashing) ++this->result.harmless_refused;
       return;
     }
-    if (!r.guilty && this->counted[r.identity].size() >= 3) {
+    if (!r.crashing && this->crashes_seen[r.identity].size() >= 3) {
       ++this->result.refused_by_count;
-      this->counted.erase(r.identity);
+      this->crashes_seen.erase(r.identity);
     }
     std::vector<size_t> up;
     for (size_t g = 0; g < this->groups.size(); ++g) {
-      if (this->groups[g].back <= this->now) up.push_back(g);
+      if (this->groups[g].up_at <= this->now) up.push_back(g);
     }
     if (up.empty()) return;
-    const auto proved = this->proved_at.find(r.identity);
-    if (proved != this->proved_at.end() &&
-        this->now >= proved->second + absl::Seconds(3)) {
-      ++this->result.sends_after_time_to_know;
+    const auto reached = this->threshold_at.find(r.identity);
+    if (reached != this->threshold_at.end() &&
+        this->now >= reached->second + absl::Seconds(3)) {
+      ++this->result.late_attempts;
     }
     r.group = up[this->random.below(up.size())];
-    r.passed_some = false;
+    r.has_events = false;
     r.repeated =
-        r.sends > 0 || this->nodes[r.node].tracker.count(r.identity) > 0;
-    ++r.sends;
-    r.next =
-        this->now +
-        absl::Seconds(this->exponential(absl::ToDoubleSeconds(usual_first)));
-    this->runs.push_back(r);
+        r.attempts > 0 || this->nodes[r.node].tracker.count(r.identity) > 0;
+    ++r.attempts;
+    r.next = this->now + absl::Seconds(this->exponential(
+                             absl::ToDoubleSeconds(mean_first_event_time)));
+    this->requests.push_back(r);
   }
 
-  void move_runs() {
+  void advance_requests() {
     std::set<size_t> crashed;
-    for (auto at = this->runs.begin(); at != this->runs.end();) {
-      run& r = *at;
+    for (auto at = this->requests.begin(); at != this->requests.end();) {
+      request_state& r = *at;
       if (this->now < r.next) {
         ++at;
-      } else if (r.guilty) {
-        if (this->now >= r.next + crash_delay) this->note_guilty(r, crashed);
+      } else if (r.crashing) {
+        if (this->now >= r.next + crash_delay) this->record_crash(r, crashed);
         ++at;
-      } else if (++r.done >= r.events) {
+      } else if (++r.last_event >= r.events) {
         this->nodes[r.node].tracker.add_progress(
             r.identity, run_progress::completed, this->now);
-        at = this->runs.erase(at);
+        at = this->requests.erase(at);
       } else {
-        r.passed_some = true;
+        r.has_events = true;
         r.next += event_period;
         ++at;
       }
@@ -191,50 +199,51 @@
     this->crash(crashed);
   }
 
-  /// Records that a guilty run crashes its group.
-  void note_guilty(const run& r, std::set<size_t>& crashed) {
+  /// Records that a crashing request crashes its group.
+  void record_crash(const request_state& r, std::set<size_t>& crashed) {
     if (!crashed.insert(r.group).second) return;
-    int& ended = this->ended_under[r.identity];
-    if (++ended == static_cast<int>(crash_tracker::begun_crash_threshold)) {
-      this->proved_at[r.identity] = this->now;
+    int& crash_count = this->crash_counts[r.identity];
+    if (++crash_count ==
+        static_cast<int>(crash_tracker::begun_crash_threshold)) {
+      this->threshold_at[r.identity] = this->now;
     }
-    this->result.guilty_crashes = std::max(this->result.guilty_crashes, ended);
+    this->result.max_crashes = std::max(this->result.max_crashes, crash_count);
   }
 
   /// Crashes groups at the same time.
   void crash(const std::set<size_t>& which) {
-    std::list<run> lost;
+    std::list<request_state> lost;
     for (const size_t g : which) {
-      if (this->groups[g].back > this->now) continue;
-      this->groups[g].back = this->now + outage;
-      const uint64_t start =
-          incarnation_hash(absl::StrCat("g", g), this->groups[g].start++);
-      for (auto at = this->runs.begin(); at != this->runs.end();) {
+      if (this->groups[g].up_at > this->now) continue;
+      this->groups[g].up_at = this->now + restart_time;
+      const uint64_t instance =
+          incarnation_hash(absl::StrCat("g", g), this->groups[g].incarnation++);
+      for (auto at = this->requests.begin(); at != this->requests.end();) {
         const auto next = std::next(at);
         if (at->group == g) {
-          this->note_loss(*at, start);
-          lost.splice(lost.end(), this->runs, at);
+          this->record_loss(*at, instance);
+          lost.splice(lost.end(), this->requests, at);
         }
         at = next;
       }
     }
-    for (run& r : lost) {
-      if (r.sends < sends_per_attempt) {
+    for (request_state& r : lost) {
+      if (r.attempts < max_attempts) {
         this->send(r);
-      } else if (r.attempt < attempts && !r.guilty) {
-        this->attempt(r);
+      } else if (r.submissions < max_submissions && !r.crashing) {
+        this->submit(r);
       }
     }
   }
 
-  void note_loss(const run& r, uint64_t start) {
+  void record_loss(const request_state& r, uint64_t instance) {
     crash_tracker& tracker = this->nodes[r.node].tracker;
     // The first event is due when the server begins to answer.
-    const bool begun = this->now >= r.next || r.passed_some;
-    tracker.add_crash(r.identity, start, {r.done, begun, r.repeated},
+    const bool begun = this->now >= r.next || r.has_events;
+    tracker.add_crash(r.identity, instance, {r.last_event, begun, r.repeated},
                       this->now);
-    if (r.passed_some) tracker.add_progress(r.identity, r.done, this->now);
-    this->counted[r.identity].insert(start);
+    if (r.has_events) tracker.add_progress(r.identity, r.last_event, this->now);
+    this->crashes_seen[r.identity].insert(instance);
   }
 
   void gossip() {
@@ -257,68 +266,69 @@
     }
   }
 
-  day_shape shape;
+  simulation_options options;
   random_stream random;
   absl::Time now = absl::UnixEpoch();
   std::vector<std::string> names;
   std::vector<node> nodes;
   std::vector<group> groups;
-  std::list<run> runs;
-  std::map<request_identity, std::set<uint64_t>> counted;
-  std::map<request_identity, int> ended_under;
-  std::map<request_identity, absl::Time> proved_at;
-  uint64_t count = 0;
-  day_result result;
+  std::list<request_state> requests;
+  std::map<request_identity, std::set<uint64_t>> crashes_seen;
+  std::map<request_identity, int> crash_counts;
+  std::map<request_identity, absl::Time> threshold_at;
+  uint64_t last_content = 0;
+  simulation_result result;
 };
 
-day_result play_days(const day_shape& shape, int days) {
-  day_result sum;
-  for (int seed = 1; seed <= days; ++seed) {
-    const day_result r = crash_day(shape, static_cast<uint64_t>(seed)).play();
+simulation_result simulate_all(const simulation_options& options,
+                               int simulations) {
+  simulation_result sum;
+  for (int seed = 1; seed <= simulations; ++seed) {
+    const simulation_result r =
+        crash_simulation(options, static_cast<uint64_t>(seed)).simulate();
     sum.sent += r.sent;
-    sum.innocent_refused += r.innocent_refused;
+    sum.harmless_refused += r.harmless_refused;
     sum.refused_by_count += r.refused_by_count;
-    sum.guilty_crashes = std::max(sum.guilty_crashes, r.guilty_crashes);
-    sum.sends_after_time_to_know =
-        std::max(sum.sends_after_time_to_know, r.sends_after_time_to_know);
+    sum.max_crashes = std::max(sum.max_crashes, r.max_crashes);
+    sum.late_attempts = std::max(sum.late_attempts, r.late_attempts);
   }
-  std::cout << "sent " << sum.sent << ", innocent refused "
-            << sum.innocent_refused << ", by a plain count "
-            << sum.refused_by_count << ", max crashes per guilty request "
-            << sum.guilty_crashes << ", max sends more than 3 s after proof "
-            << sum.sends_after_time_to_know << "\n";
+  std::cout << "sent " << sum.sent << ", harmless refused "
+            << sum.harmless_refused << ", by a plain count "
+            << sum.refused_by_count << ", max crashes per crashing request "
+            << sum.max_crashes << ", max attempts 3 s after the threshold "
+            << sum.late_attempts << "\n";
   return sum;
 }
 
-TEST(crash_days, no_innocent_request_is_refused_as_groups_crash) {
-  day_shape shape;
-  shape.crashes_per_s = 0.6;
-  shape.crash_at_once = 0.4;
-  EXPECT_EQ(play_days(shape, 200).innocent_refused, 0);
+TEST(crash_fleet, no_harmless_request_is_refused_when_groups_crash) {
+  simulation_options options;
+  options.crashes_per_s = 0.6;
+  options.common_crash_fraction = 0.4;
+  EXPECT_EQ(simulate_all(options, 200).harmless_refused, 0);
 }
 
-TEST(crash_days, no_request_that_many_send_is_refused_as_groups_crash) {
-  day_shape shape;
-  shape.crashes_per_s = 0.6;
-  shape.crash_at_once = 0.4;
-  shape.hot_share = 0.3;
-  EXPECT_EQ(play_days(shape, 200).innocent_refused, 0);
+TEST(crash_fleet, no_repeated_content_is_refused_when_groups_crash) {
+  simulation_options options;
+  options.crashes_per_s = 0.6;
+  options.common_crash_fraction = 0.4;
+  options.same_content_fraction = 0.3;
+  EXPECT_EQ(simulate_all(options, 200).harmless_refused, 0);
 }
 
-TEST(crash_days, few_innocent_requests_are_refused_beside_a_guilty_one) {
-  day_shape shape;
-  shape.guilty_per_s = 2;
-  const day_result r = play_days(shape, 50);
-  EXPECT_LE(r.innocent_refused, r.sent / 10000);
-  EXPECT_LE(r.sends_after_time_to_know, 3);
+TEST(crash_fleet, few_harmless_requests_are_refused_beside_a_crashing_one) {
+  simulation_options options;
+  options.crashing_per_s = 2;
+  const simulation_result r = simulate_all(options, 50);
+  EXPECT_LE(r.harmless_refused, r.sent / 10000);
+  EXPECT_LE(r.late_attempts, 3);
 }
 
-TEST(crash_days, nor_beside_ten_of_them) {
-  day_shape shape;
-  shape.guilty_per_s = 5;
-  shape.guilty = 10;
-  const day_result r = play_days(shape, 50);
-  EXPECT_LE(r.innocent_refused, r.sent / 10000);
+TEST(crash_fleet, few_harmless_requests_are_refused_beside_ten_crashing_ones) {
+  simulation_options options;
+  options.crashing_per_s = 5;
+  options.crashing = 10;
+  const simulation_result r = simulate_all(options, 50);
+  EXPECT_LE(r.harmless_refused, r.sent / 10000);
 }
 
 }  // namespace
