--- a/src/crash-evidence.cc
+++ b/src/crash-evidence.cc
@@ -19,8 +19,8 @@
   out.passed = std::max(a.passed, b.passed);
   for (const auto& [server, crash] : b.crashes) {
     server_crash& stored = out.crashes.try_emplace(server, crash).first->second;
-    // Takes the larger as a whole. A combination of fields could keep a field
-    // of a crash that progress refutes, and depend on the order of merges.
+    // Keeps the larger of the two as a whole. If their fields were combined and
+    // progress refuted one of them, the order of merges would matter.
     stored = std::max(stored, crash);
   }
   normalize(out);
--- a/test/cold-servers-test.cc
+++ b/test/cold-servers-test.cc
@@ -34,9 +34,9 @@
 struct fault_rates {
   /// Fraction of messages lost.
   double lost = 0;
-  /// Fraction of messages that are queued. The queues are flushed at the end of
-  /// every period of length `late`.
+  /// Fraction of messages that are queued until the next flush of the queues.
   double queued = 0;
+  /// Interval between flushes; zero if messages are not queued.
   absl::Duration flush_period = absl::ZeroDuration();
   /// Maximum duration of a lease term.
   absl::Duration max_term = absl::Seconds(60);
@@ -50,8 +50,8 @@
 /// server. The total is many times the rate of the servers.
 class cold_fleet {
  public:
-  cold_fleet(int nodes, double rate, fault_rates t, mutant m, uint64_t seed)
-      : rate(rate), faults(t), mutated(m), random{std::mt19937_64(seed)} {
+  cold_fleet(int nodes, double rate, fault_rates rates, mutant m, uint64_t seed)
+      : rate(rate), faults(rates), mutated(m), random{std::mt19937_64(seed)} {
     this->nodes.resize(static_cast<size_t>(nodes));
     for (int i = 0; i < servers; ++i) {
       this->names.push_back(absl::StrCat("s", i));
@@ -67,15 +67,15 @@
 
   /// Maximum number of requests that one server received within a second.
   int max_in_a_second() const {
-    int most = 0;
+    int max_count = 0;
     for (const auto& times : this->sent) {
       size_t first = 0;
       for (size_t last = 0; last < times.size(); ++last) {
         while (times[last] - times[first] >= absl::Seconds(1)) ++first;
-        most = std::max(most, static_cast<int>(last - first + 1));
+        max_count = std::max(max_count, static_cast<int>(last - first + 1));
       }
     }
-    return most;
+    return max_count;
   }
 
   size_t total() const {
@@ -196,11 +196,11 @@
     }
     // Uses grants only in some steps, so that some are used just before they
     // expire.
-    const bool uses = this->random.unit() < 0.3;
+    const bool use_grants = this->random.unit() < 0.3;
     for (int s = 0; s < servers; ++s) {
       const std::string& name = this->names[static_cast<size_t>(s)];
       if (this->random.unit() < 0.1) n.client.add_demand(name, 1);
-      while (uses && n.client.use(name, this->now)) {
+      while (use_grants && n.client.use(name, this->now)) {
         this->sent[static_cast<size_t>(s)].push_back(this->now);
       }
     }
@@ -243,22 +243,22 @@
                              0.02, true};
 
 RC_GTEST_PROP(cold_servers, no_server_gets_more_than_its_rate, ()) {
-  fault_rates t;
-  t.lost = *rc::gen::inRange(0, 50) * 0.01;
-  t.queued = *rc::gen::inRange(0, 50) * 0.01;
-  t.flush_period = absl::Milliseconds(*rc::gen::inRange(0, 3000));
-  t.max_term = absl::Milliseconds(*rc::gen::inRange(10, 8000));
-  t.restarts = *rc::gen::inRange(0, 20) * 0.01;
-  t.splits = *rc::gen::arbitrary<bool>();
+  fault_rates rates;
+  rates.lost = *rc::gen::inRange(0, 50) * 0.01;
+  rates.queued = *rc::gen::inRange(0, 50) * 0.01;
+  rates.flush_period = absl::Milliseconds(*rc::gen::inRange(0, 3000));
+  rates.max_term = absl::Milliseconds(*rc::gen::inRange(10, 8000));
+  rates.restarts = *rc::gen::inRange(0, 20) * 0.01;
+  rates.splits = *rc::gen::arbitrary<bool>();
   const int nodes = *rc::gen::element(83, 295);
   const int rate = *rc::gen::inRange(1, 60);
-  cold_fleet fleet(nodes, rate, t, mutant::none,
+  cold_fleet fleet(nodes, rate, rates, mutant::none,
                    *rc::gen::arbitrary<uint64_t>());
   fleet.run(absl::Seconds(6));
   RC_ASSERT(fleet.max_in_a_second() <= rate);
 }
 
-TEST(cold_servers, bound_holds_with_all_troubles_at_once) {
+TEST(cold_servers, bound_holds_with_all_faults_combined) {
   for (const int nodes : {83, 295}) {
     for (uint64_t seed = 1; seed <= 5; ++seed) {
       cold_fleet fleet(nodes, 26, all_faults, mutant::none, seed);
@@ -269,19 +269,19 @@
 }
 
 TEST(cold_servers, bound_breaks_if_lifetime_counts_from_receipt) {
-  fault_rates t;
-  t.queued = 0.8;
-  t.flush_period = absl::Seconds(3);
-  cold_fleet fleet(83, 26, t, mutant::from_receipt, 1);
+  fault_rates rates;
+  rates.queued = 0.8;
+  rates.flush_period = absl::Seconds(3);
+  cold_fleet fleet(83, 26, rates, mutant::from_receipt, 1);
   fleet.run(absl::Seconds(20));
   EXPECT_GT(fleet.max_in_a_second(), 26);
 }
 
 TEST(cold_servers, bound_breaks_if_a_new_holder_does_not_wait) {
-  fault_rates t;
-  t.max_term = absl::Milliseconds(100);
-  t.lost = 0.1;
-  cold_fleet fleet(83, 4, t, mutant::no_term_delay, 1);
+  fault_rates rates;
+  rates.max_term = absl::Milliseconds(100);
+  rates.lost = 0.1;
+  cold_fleet fleet(83, 4, rates, mutant::no_term_delay, 1);
   fleet.run(absl::Seconds(60));
   EXPECT_GT(fleet.max_in_a_second(), 4);
 }
@@ -312,8 +312,8 @@
 
 TEST(token_bucket_params, stays_within_the_rate_in_a_second) {
   for (int rate = 1; rate <= 200; ++rate) {
-    const absl::Duration hold = absl::Milliseconds(500);
-    const token_bucket_params b = bucket_for_cold_rate(rate, hold);
+    const absl::Duration lifetime = absl::Milliseconds(500);
+    const token_bucket_params b = bucket_for_cold_rate(rate, lifetime);
     EXPECT_LE(static_cast<int>(b.burst + b.per_s * 1.5), rate);
     EXPECT_GE(b.burst, 1);
   }
@@ -414,15 +414,15 @@
 TEST(grant_client, backs_off_while_nothing_is_granted) {
   grant_client client;
   absl::Time now = start;
-  std::vector<int64_t> pauses;
+  std::vector<int64_t> intervals;
   for (uint64_t nonce = 1; nonce <= 6; ++nonce) {
     const absl::Time before = now;
     client.add_demand("s", 1);
     while (!client.request_due(now)) now += absl::Milliseconds(1);
     client.make_request(nonce, now);
-    pauses.push_back(absl::ToInt64Milliseconds(now - before));
+    intervals.push_back(absl::ToInt64Milliseconds(now - before));
   }
-  EXPECT_EQ(pauses, (std::vector<int64_t>{0, 100, 200, 400, 800, 800}));
+  EXPECT_EQ(intervals, (std::vector<int64_t>{0, 100, 200, 400, 800, 800}));
   client.accept_response({6, {{"s", 1, 1}}}, now);
   client.add_demand("s", 1);
   EXPECT_TRUE(client.request_due(now + absl::Milliseconds(100)));
--- a/test/crash-spread-test.cc
+++ b/test/crash-spread-test.cc
@@ -128,10 +128,10 @@
   spread_fleet fleet(295, 0, 1);
   fleet.crash(0, 1);
   for (int i = 0; i < 40; ++i) fleet.next_round();
-  const size_t most = crash_spread::collectors *
-                      (crash_spread::collectors + 1) *
-                      crash_spread::collector_rounds;
-  EXPECT_LE(fleet.sent, most);
+  const size_t max_sent = crash_spread::collectors *
+                          (crash_spread::collectors + 1) *
+                          crash_spread::collector_rounds;
+  EXPECT_LE(fleet.sent, max_sent);
 }
 
 TEST(crash_spread, a_burst_larger_than_one_message_is_sent_completely) {
--- a/test/limit-fleet-test.cc
+++ b/test/limit-fleet-test.cc
@@ -26,9 +26,9 @@
 /// Time after its start from which a node knows the number of nodes.
 constexpr absl::Duration count_time = absl::Seconds(4);
 
-/// The bound applies to every window that begins at least `notice` after the
-/// limit is first advertised. A node counts as informed `informed_after` after
-/// a server's answer first carried the limit.
+/// The bound applies to every window that begins at least `notice_period` after
+/// the limit is first advertised. A node counts as informed `informed_after`
+/// after a server's answer first carried the limit.
 constexpr absl::Duration window = absl::Seconds(4);
 constexpr absl::Duration notice_period = absl::Seconds(3);
 constexpr absl::Duration informed_after = absl::Milliseconds(500);
@@ -53,6 +53,7 @@
 /// Time by which some node has received an answer at the demand of the test.
 constexpr absl::Duration first_answers = absl::Milliseconds(700);
 
+/// Faults that are injected in a run.
 struct fault_rates {
   /// Fraction of messages lost.
   double lost = 0;
@@ -67,11 +68,11 @@
 class limit_fleet {
  public:
   /// Each node attempts `demand` requests per second to each server.
-  limit_fleet(int count, double per_s, double demand, fault_rates t, mutation m,
-              uint64_t seed)
+  limit_fleet(int count, double per_s, double demand, fault_rates rates,
+              mutation m, uint64_t seed)
       : per_s(per_s),
         demand(demand),
-        faults(t),
+        faults(rates),
         mutated(m),
         random{std::mt19937_64(seed)},
         nodes(static_cast<size_t>(count)) {
@@ -107,7 +108,7 @@
   int count_knowing(int server) const {
     return static_cast<int>(std::count_if(
         this->nodes.begin(), this->nodes.end(), [&](const node& n) {
-          return n.limits.find(name_of(server)).has_value();
+          return n.limits.find(instance_of(server)).has_value();
         }));
   }
   int64_t skipped = 0;
@@ -117,15 +118,15 @@
   using send_times = std::vector<std::vector<absl::Time>>;
 
   static int max_of(const send_times& sent) {
-    int most = 0;
+    int max_count = 0;
     for (const auto& times : sent) {
       size_t first = 0;
       for (size_t last = 0; last < times.size(); ++last) {
         while (times[last] - times[first] >= window) ++first;
-        most = std::max(most, static_cast<int>(last - first + 1));
+        max_count = std::max(max_count, static_cast<int>(last - first + 1));
       }
     }
-    return most;
+    return max_count;
   }
 
   struct node {
@@ -152,7 +153,7 @@
     std::vector<limit_report> reports;
   };
 
-  static server_instance name_of(int server) {
+  static server_instance instance_of(int server) {
     return {absl::StrCat("s", server), 1};
   }
 
@@ -174,8 +175,8 @@
   }
 
   grant_response grant(node& holder, const grant_request& request) {
-    for (const auto& stored : request.limits)
-      holder.limits.merge_report(stored, this->now);
+    for (const auto& report : request.limits)
+      holder.limits.merge_report(report, this->now);
     return holder.issuer.grant(
         request,
         [&](const server_request_count& wanted) {
@@ -211,22 +212,22 @@
   /// Consumes a slot or grant for a request. Returns whether it may be sent.
   bool try_send(size_t i, int server) {
     node& n = this->nodes[i];
-    const server_instance to = name_of(server);
+    const server_instance to = instance_of(server);
     const auto limit = n.limits.find(to);
     if (!limit || this->mutated == mutation::ignore_limits) return true;
     const auto nodes = this->known_nodes(n);
-    random_stream same{std::mt19937_64(1)};
-    random_stream& drawn =
-        this->mutated == mutation::aligned_slots ? same : this->random;
+    random_stream fixed_random{std::mt19937_64(1)};
+    random_stream& slot_random =
+        this->mutated == mutation::aligned_slots ? fixed_random : this->random;
     const int sharing =
         this->mutated == mutation::undivided_share ? 1 : nodes.value_or(0);
-    const bool own = nodes &&
-                     n.shares.has(to, *limit, sharing, this->now, drawn) &&
-                     n.shares.use(to, this->now);
-    const bool may = own || n.client.use(to.server, this->now);
+    const bool from_share =
+        nodes && n.shares.has(to, *limit, sharing, this->now, slot_random) &&
+        n.shares.use(to, this->now);
+    const bool may_send = from_share || n.client.use(to.server, this->now);
     n.client.add_demand(to.server, to.incarnation,
                         grant_client::max_limited_requests);
-    return may;
+    return may_send;
   }
 
   void gossip(size_t i) {
@@ -256,7 +257,7 @@
         ++this->skipped;
         continue;
       }
-      const auto informed_at = n.informed_at.find(name_of(s));
+      const auto informed_at = n.informed_at.find(instance_of(s));
       const bool informed = informed_at != n.informed_at.end() &&
                             this->now - informed_at->second >= informed_after;
       if (this->now - start >= notice_period && this->per_s) {
@@ -267,7 +268,7 @@
       }
       event e;
       e.node = i;
-      e.server = name_of(s);
+      e.server = instance_of(s);
       e.advertised = this->per_s;
       e.sent = this->now;
       this->schedule(answer_time, std::move(e));
@@ -384,14 +385,14 @@
 }
 
 RC_GTEST_PROP(limit_fleet, bound_holds_at_random, ()) {
-  fault_rates t;
-  t.lost = *rc::gen::inRange(0, 50) * 0.01;
-  t.no_holder = *rc::gen::inRange(0, 100) * 0.01;
-  t.restarts = *rc::gen::inRange(0, 5) * 0.01;
-  t.splits = *rc::gen::arbitrary<bool>();
+  fault_rates rates;
+  rates.lost = *rc::gen::inRange(0, 50) * 0.01;
+  rates.no_holder = *rc::gen::inRange(0, 100) * 0.01;
+  rates.restarts = *rc::gen::inRange(0, 5) * 0.01;
+  rates.splits = *rc::gen::arbitrary<bool>();
   const int nodes = *rc::gen::element(9, 83, 295);
   const double per_s = *rc::gen::inRange(1, 300) * 0.1;
-  limit_fleet fleet(nodes, per_s, overload_demand(nodes, per_s), t,
+  limit_fleet fleet(nodes, per_s, overload_demand(nodes, per_s), rates,
                     mutation::none, *rc::gen::arbitrary<uint64_t>());
   fleet.run(absl::Seconds(8));
   RC_ASSERT(fleet.max_in_a_window() <= allowed(per_s));
--- a/test/server-limit-test.cc
+++ b/test/server-limit-test.cc
@@ -73,15 +73,15 @@
       if (arrival.at < this->advertised_at + notice_period) continue;
       times[arrival.server].push_back(arrival.at);
     }
-    int most = 0;
+    int max_count = 0;
     for (const auto& [server, when] : times) {
       size_t first = 0;
       for (size_t last = 0; last < when.size(); ++last) {
         while (when[last] - when[first] >= window) ++first;
-        most = std::max(most, static_cast<int>(last - first + 1));
+        max_count = std::max(max_count, static_cast<int>(last - first + 1));
       }
     }
-    return most;
+    return max_count;
   }
 
   absl::Time advertised_at;
