--- a/include/spokesail/limit-share.h
+++ b/include/spokesail/limit-share.h
@@ -1,4 +1,5 @@
-// A node's share of servers' rate limits that needs no grant.
+// The static share: the part of servers' rate limits that a node uses without a
+// grant.
 #pragma once
 
 #include <absl/time/time.h>
