--- a/src/crash-evidence.cc
+++ b/src/crash-evidence.cc
@@ -17,10 +17,11 @@
 crash_evidence merge(const crash_evidence& a, const crash_evidence& b) {
   crash_evidence out = a;
   out.passed = std::max(a.passed, b.passed);
-  for (const auto& [server, end] : b.crashes) {
-    server_crash& known = out.crashes.try_emplace(server, end).first->second;
-    // As one value: of parts taken from two ends, one may since be refuted.
-    known = std::max(known, end);
+  for (const auto& [server, crash] : b.crashes) {
+    server_crash& stored = out.crashes.try_emplace(server, crash).first->second;
+    // Keeps the larger of the two as a whole. If their fields were combined and
+    // progress refuted one of them, the order of merges would matter.
+    stored = std::max(stored, crash);
   }
   normalize(out);
   return out;
