--- a/include/spokesail/congestion-window.h
+++ b/include/spokesail/congestion-window.h
@@ -1,4 +1,4 @@
-// Bounds the questions that a node has open at once, by what is answered.
+// Limits the number of calls that a node has outstanding to servers.
 #pragma once
 
 #include <absl/time/time.h>
@@ -8,48 +8,51 @@
 
 namespace spokesail {
 
-/// How many questions may be open.
+/// Limits of the window, in outstanding calls.
 struct window_limits {
-  /// At the start of a term: one round of answers takes a few milliseconds of
-  /// processor time, which a node on an eighth of a core has within a tenth of
-  /// a second.
+  /// Size at the start of a term: reading one round of answers takes a few
+  /// milliseconds of processor time, which a node on an eighth of a core has
+  /// within a tenth of a second.
   double first = 32;
-  /// One server in a hall of ten is asked at a time however bad it goes.
+  /// Lower bound after repeated losses: about one server at a time in a hall of
+  /// ten.
   double least = 8;
-  /// A node that answers in time everywhere needs no more.
+  /// Upper bound; a node that reads all answers in time needs no more.
   double most = 256;
-  /// After a loss the window stays for this long, since questions that were
-  /// sent before it tell nothing new.
+  /// After a loss the window is not reduced again for this long, since calls
+  /// that were sent before it carry no new information.
   absl::Duration min_shrink_interval = absl::Milliseconds(300);
-  /// A node whose loop is later than this reads answers late. A step of a
-  /// holder of 2,000 servers takes less on an eighth of a core.
+  /// A node whose event loop is delayed by more than this reads answers late. A
+  /// step of a holder of 2,000 servers takes less on an eighth of a core.
   absl::Duration late = absl::Milliseconds(60);
   bool operator==(const window_limits&) const = default;
 };
 
-/// A window over open questions. It grows by one for each window of answers,
-/// and by one for each answer until it first shrank. A question without an
-/// answer halves it if the node was late itself: a node that asks more than it
-/// can read takes its own slowness for the silence of others, and with all of
-/// 931 questions at once a holder on an eighth of a core finds up to half of
-/// its servers silent. Servers that are gone say nothing of the node: when a
-/// tenth of them went, a window that they halved held repairs up for 1.4 s.
+/// A congestion window over outstanding calls to servers. It grows by one for
+/// each window of answers, and by one for each answer until it first shrinks. A
+/// call without an answer halves it only if the node's own loop was delayed: a
+/// node that sends more calls than it can read answers for mistakes its own
+/// slowness for unresponsive servers, and with all of 931 calls outstanding at
+/// once, a holder on an eighth of a core finds up to half of its servers
+/// unresponsive. Servers that are down say nothing about the node's own load:
+/// when a tenth of them failed and halved the window, repairs were delayed by
+/// 1.4 s.
 class congestion_window {
  public:
   explicit congestion_window(const window_limits& limits = {})
       : limits(limits), size(limits.first) {}
 
-  /// Whether another question may be sent now.
+  /// Whether another call may be sent now.
   bool open() const {
     return static_cast<double>(this->asked.size()) < this->size;
   }
-  /// Whether a question to `server` is open.
+  /// Whether a call to `server` is outstanding.
   bool asks(const std::string& server) const {
     return this->asked.count(server) != 0;
   }
   void sent(const std::string& server) { this->asked.insert(server); }
-  /// Takes the end of a question, and how late the node's loop was at worst of
-  /// late. False if none was open.
+  /// Handles the end of a call, with the worst recent delay of the node's loop.
+  /// Returns false if no call to `server` was outstanding.
   bool ended(const std::string& server, bool answered,
              absl::Duration loop_delay, absl::Time now);
   double limit() const { return this->size; }
--- a/include/spokesail/controller.h
+++ b/include/spokesail/controller.h
@@ -1,4 +1,4 @@
-// The hall controller: holds the lease, keeps the placement, orders loads.
+// The hall controller: holds the lease, maintains the placement, orders loads.
 #pragma once
 
 #include <absl/time/time.h>
@@ -14,8 +14,8 @@
 
 namespace spokesail {
 
-/// What a backend server is told to do: take its place in a group, leave its
-/// group, or load a model's weights while it stands in none.
+/// What a backend server is ordered to do: take its place in a group, leave its
+/// group, or load a model's weights while it is in no group.
 enum class order_kind { load, release, preload };
 
 /// An order's name, for the wire and for logs.
@@ -40,22 +40,23 @@
   bool operator==(const order&) const = default;
 };
 
-/// How an order ended.
+/// Outcome of an order.
 enum class order_status { accepted, refused, unreachable };
 
 /// Timing of a controller.
 struct controller_timing {
   lease_timing lease;
-  /// An order is given up on after this long.
+  /// Timeout of an order.
   absl::Duration order_deadline = absl::Seconds(1);
-  /// An accepted order is repeated if the host still reports otherwise.
+  /// An accepted order is sent again after this long if the host still reports
+  /// another state.
   absl::Duration order_repeat = absl::Seconds(2);
   absl::Duration plan_interval = absl::Milliseconds(200);
   absl::Duration drain_settle = absl::Seconds(3);
   policy_kind policy = policy_kind::best_fit;
 };
 
-/// What one step of the controller asks for.
+/// Result of one step of the controller.
 struct controller_actions {
   std::optional<platform_call> lease_call;
   std::optional<platform_call> placement_call;
@@ -63,39 +64,40 @@
   std::vector<plan_change> changes;
 };
 
-/// What a controller looks at in one step.
+/// Input of one step of the controller.
 struct controller_view {
   const configuration* config = nullptr;
   std::string hall;
   std::map<std::string, host_view> hosts;
-  /// The placement document as last heard of; version 0 if there is none.
+  /// The last known placement document; version 0 if there is none.
   object placement_object;
 };
 
-/// One candidate's controller of its data hall. It acts only while it holds
-/// the lease, and writes the placement once under its own fencing number
-/// before it relies on it, so that no older holder's write can follow.
+/// One candidate's controller of its data hall. It acts only while it holds the
+/// lease. It writes the placement once under its own fencing number before it
+/// relies on it, so that no write of an earlier holder can follow.
 class controller {
  public:
   controller() = default;
   controller(const std::string& hall, const std::string& self,
              controller_timing timing);
 
-  /// The lease, for observing versions of its document.
+  /// The lease, to be updated with observed versions of its document.
   lease& hall_lease() { return this->own_lease; }
   const lease& hall_lease() const { return this->own_lease; }
 
-  /// Whether it leads the hall at `now`.
+  /// Whether it holds the hall's lease at `now`.
   bool leads(absl::Time now) const { return this->own_lease.held(now); }
 
-  /// Decides what is to be done at `now`.
+  /// Computes what is to be done at `now`.
   controller_actions step(const controller_view& view, absl::Time now,
                           const std::string& write_id);
 
-  /// Takes the answer to the placement call. Gives the object if it is newer.
+  /// Handles the answer to the placement call. Returns the object if it is
+  /// newer.
   std::optional<object> on_placement_answer(const platform_answer& answer);
 
-  /// Takes the end of an order.
+  /// Handles the outcome of an order.
   void on_order_result(const std::string& host, order_status status,
                        absl::Time now);
 
@@ -115,7 +117,8 @@
                                                  absl::Time now,
                                                  const std::string& write_id,
                                                  controller_actions& actions);
-  /// What is left of a hall's weight loads, and which hosts stand in groups.
+  /// Number of hosts of a hall that are loading weights, its limit, and the
+  /// group of each host that is in one.
   struct load_budget {
     int loading = 0;
     int limit = 1;
@@ -123,8 +126,8 @@
   };
   void add_preloads(const controller_view& view, absl::Time now,
                     load_budget& budget, std::vector<order>& out) const;
-  /// How many spare hosts of a domain are to hold a model's weights, and
-  /// whether a group of the model stands in the domain.
+  /// Number of spare hosts of a domain that should hold a model's weights, and
+  /// whether the domain has a group of the model.
   struct spare_demand {
     const model_config* model = nullptr;
     int count = 0;
--- a/include/spokesail/demand-table.h
+++ b/include/spokesail/demand-table.h
@@ -1,4 +1,4 @@
-// Sums up what nodes and data halls say that callers ask for.
+// Sums up the demand that nodes and data halls report.
 #pragma once
 
 #include <absl/time/time.h>
@@ -11,39 +11,39 @@
 
 namespace spokesail {
 
-/// What callers ask for in all data halls, as far as it is known.
+/// Demand in all data halls, as far as it is known.
 struct demand_view {
   std::vector<model_demand> models;
-  /// Age of the oldest word in it.
+  /// Age of the oldest report that is included.
   absl::Duration age = absl::ZeroDuration();
-  /// Data halls that spoke before and are silent now.
+  /// Data halls that reported before and no longer do.
   int missing_halls = 0;
   bool operator==(const demand_view&) const = default;
 };
 
-/// The last words of peers and of data halls.
+/// The latest reports of peers and of data halls.
 class demand_table {
  public:
-  /// A word counts for this long: it is said once a second, and one or two may
-  /// be lost.
+  /// A report counts for this long: it is sent once a second, and one or two
+  /// may be lost.
   static constexpr absl::Duration report_ttl = absl::Seconds(3);
-  /// A hall that says nothing for this long has no callers either.
+  /// A hall without a report for this long has no demand either.
   static constexpr absl::Duration hall_ttl = absl::Seconds(30);
 
-  /// Takes a node's word. An empty one says nothing.
+  /// Stores a node's report. An empty one is ignored.
   void update_node(const std::string& node, const std::string& hall,
                    const std::vector<model_demand>& said, absl::Time now);
 
-  /// Takes the word of a whole hall, in place of its nodes' words.
+  /// Stores the report of a whole hall, which replaces those of its nodes.
   void update_hall(const std::string& hall,
                    const std::vector<model_demand>& said, absl::Time now);
 
-  /// The sum of one hall's words and of this node's `own`.
+  /// The sum of one hall's reports and of this node's `own` demand.
   std::vector<model_demand> hall_sum(const std::string& hall,
                                      const std::vector<model_demand>& own,
                                      absl::Time now) const;
 
-  /// The sum of all words and of this node's `own`.
+  /// The sum of all reports and of this node's `own` demand.
   demand_view total(const std::vector<model_demand>& own, absl::Time now) const;
 
  private:
@@ -51,7 +51,7 @@
     std::vector<model_demand> demand;
     absl::Time at;
   };
-  /// Words of one hall by node; of the whole hall under an empty name.
+  /// Reports of one hall by node; that of the whole hall has an empty name.
   struct hall_reports {
     std::map<std::string, node_report> nodes;
     absl::Time at = absl::InfinitePast();
--- a/include/spokesail/demand-window.h
+++ b/include/spokesail/demand-window.h
@@ -1,4 +1,4 @@
-// Counts what callers asked a node for in the last seconds.
+// Counts the requests that a node received in the last seconds.
 #pragma once
 
 #include <absl/time/time.h>
@@ -19,26 +19,27 @@
 /// Requests by model over the last whole seconds.
 class demand_window {
  public:
-  /// Whole seconds that are averaged: requests of one second are too few to
-  /// tell models apart at a small node.
+  /// Number of whole seconds that are averaged: a small node receives too few
+  /// requests in one second to distinguish the demand for its models.
   static constexpr int window_s = 3;
-  /// Models that are counted at most.
+  /// Upper bound of the number of models that are counted.
   static constexpr size_t max_models = 64;
 
-  /// Takes a request as arrived. A model beyond the bound is left out, and
-  /// the answer is then false.
+  /// Counts a request that arrived. Returns false if the model is beyond the
+  /// bound and not counted.
   bool arrive(const std::string& service, const std::string& model,
               const request_size& size, absl::Time now);
 
-  /// Takes a request that arrived as refused for want of room.
+  /// Counts an arrived request as refused for lack of capacity.
   void refuse(const std::string& service, const std::string& model,
               absl::Time now);
 
-  /// Rates over the last whole seconds, of each model ever asked for.
+  /// Rates over the last whole seconds of each model ever requested. A model
+  /// without requests is included with zero rates.
   std::vector<model_demand> rates(absl::Time now) const;
 
  private:
-  /// What came in one second.
+  /// Counts of one second.
   struct second_count {
     int64_t second = 0;
     double requests = 0;
@@ -49,7 +50,7 @@
   using seconds = std::array<second_count, window_s + 1>;
   using model_key = std::pair<std::string, std::string>;
 
-  /// The count of the second that runs.
+  /// The count of the current second.
   static second_count& current(seconds& counts, absl::Time now);
 
   std::map<model_key, seconds> models;
--- a/include/spokesail/group-controller.h
+++ b/include/spokesail/group-controller.h
@@ -1,4 +1,4 @@
-// Decides the next orders that form, open, repair and dissolve serving groups.
+// Computes the orders that form, open, repair and dissolve serving groups.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -24,10 +24,10 @@
 
 namespace spokesail {
 
-/// One change of what the controller believes, for the log.
+/// A change of the controller's state, for the log.
 struct controller_event {
   std::string event;
-  /// The group or server that it is about.
+  /// The group or server that the change concerns.
   std::string subject;
   std::string reason;
   bool operator==(const controller_event&) const = default;
@@ -36,134 +36,138 @@
 /// A model's groups and hosts at one moment, for the log.
 struct model_summary {
   std::string model;
-  /// Groups that serve, that stand or form, and that are wanted.
+  /// Number of groups that serve, that exist or form, and that are wanted.
   int serving = 0;
   int standing = 0;
   int wanted = 0;
-  /// Usable hosts in no group that hold its weights, and that load them.
+  /// Usable hosts outside of groups that hold the model's weights, and that are
+  /// loading them.
   int idle = 0;
   int loading = 0;
   bool operator==(const model_summary&) const = default;
 };
 
-/// What one step asks for.
+/// Result of one step.
 struct group_actions {
   std::vector<group_order> orders;
-  /// Servers to ask for their report.
+  /// Ids of the servers to request a report from.
   std::vector<std::string> report_requests;
   std::vector<controller_event> notes;
-  /// How the models stand; filled now and then.
+  /// State of the models; only filled at the period of the summary.
   std::vector<model_summary> summaries;
-  /// Whether this holder should give its lease up.
+  /// Whether this holder should give up its lease.
   bool step_down = false;
 };
 
-/// Loads from the weight store that earlier holders of the lease began.
+/// Loads from the weight store that previous lease holders started.
 struct earlier_loads {
-  /// Loads in the window before `as_of`, by the last holder's own word.
+  /// Loads in the window before `as_of`, as the last holder reported them.
   int count = 0;
-  /// When this node heard of them; infinite past if it never did.
+  /// A lower bound of the time at which that was reported; infinite past if
+  /// this node never received a report.
   absl::Time as_of = absl::InfinitePast();
   bool operator==(const earlier_loads&) const = default;
 };
 
-/// The group controller of the holder of the lease. It compares what stands,
-/// by the servers' own words, with what should stand, and gives the next
-/// orders; it keeps nothing that a new holder could not read back.
+/// The group controller, run by the lease holder. It compares the groups that
+/// exist, as the servers report them, with those that should exist, and
+/// computes the next orders. Its state can be rebuilt from the servers' reports
+/// by a new holder.
 ///
-/// No server is told to join a group while it belongs to another whose head
-/// may still serve: the head has left or is broken by its own word, or the
-/// server itself has acknowledged that it left. A head that lost a member so
-/// serves nobody from then on.
+/// A server is not ordered to join a group while it belongs to another group
+/// whose head may still serve. The head must have left or reported that it is
+/// broken, or the server itself must have acknowledged that it left; a head
+/// that has lost a member this way serves no more requests.
 class group_controller {
  public:
   explicit group_controller(const group_controller_options& options)
       : options(options) {}
 
-  /// Begins to act under a lease's fencing number. What the holder before it
-  /// loaded counts in this one's windows, and its division of the hosts stays
+  /// Starts a term under the fencing number of a lease. Loads of the previous
+  /// holder count in the load window of this one, and its host allocation stays
   /// in force.
   void start_term(int64_t fence, const earlier_loads& before = {},
                   const std::vector<model_share>& last_shares = {});
 
-  /// Stops acting and forgets.
+  /// Ends the term and clears the state.
   void stop_term();
 
-  /// Takes how late this node's loop was at worst of late.
+  /// Sets the worst recent delay of this node's event loop.
   void set_loop_delay(absl::Duration delay) { this->loop_delay = delay; }
 
-  /// Takes the data halls whose servers get no requests. No group is formed
-  /// there, and neither hosts nor groups there count; groups that stand are
+  /// Sets the data halls whose servers get no requests. No group is formed
+  /// there, and neither hosts nor groups there are counted; existing groups are
   /// left as they are.
   void set_closed_halls(std::set<std::string> halls) {
     this->closed_halls = std::move(halls);
   }
 
-  /// Takes what callers ask for, as far as this node knows.
+  /// Sets the demand in all data halls, as far as this node knows it.
   void update_demand(const demand_view& known, absl::Time now) {
     this->demand = known;
     this->demand_at = now;
   }
 
-  /// Whether it acts under a lease.
+  /// Whether it is in a term.
   bool active() const { return this->fence != 0; }
 
-  /// A server is thought not to answer, from traffic or from a connection.
+  /// Reports a server that may be down, as seen in traffic or on a connection.
   void suspect(const std::string& server, absl::Time now);
 
-  /// Takes the result of an order that `step` gave.
+  /// Handles the result of an order that `step` returned.
   void on_order_result(const group_order& order, order_result result,
                        absl::Time now);
 
-  /// Takes a server's report; nothing if it did not answer in time.
+  /// Handles a server's report; nullopt if it did not answer in time.
   void on_report(const std::string& server,
                  const std::optional<server_report>& report, absl::Time now);
 
-  /// Decides the next orders. `requests_seen` is false while loads are still
-  /// free, before there are requests.
+  /// Computes the next orders. `requests_seen` is false before the first
+  /// request; until then loads from the weight store are quick and not limited.
   group_actions step(const server_directory& directory,
                      const routing_config& config, bool requests_seen,
                      absl::Time now);
 
-  /// Servers that do not answer, by id.
+  /// Ids of the servers that do not answer.
   std::vector<std::string> silent_servers() const;
 
-  /// The division of hosts, where it is not as stated, for the next holder.
+  /// The shares that differ from the configured ones, for the next holder.
   std::vector<model_share> shares() const;
 
-  /// Loads of the current window, for the next holder.
+  /// Number of loads in the current window, for the next holder.
   int loads_begun(absl::Time now) const;
 
  private:
-  /// What is known of one server beyond its entry in the directory.
+  /// State of one server beyond its directory entry.
   struct server_track {
-    /// The start that all else here is about; 0 if it is not known.
+    /// The server's incarnation that this state belongs to; 0 if unknown.
     int64_t incarnation = 0;
-    /// Orders it has begun, by its own count; nothing until it has been asked.
+    /// Number of orders it has accepted, as it reported; unknown until it has
+    /// been probed.
     std::optional<int64_t> orders_started;
     /// The order that has no result yet.
     std::optional<group_order> pending;
-    /// What it belongs to by an acknowledged order that its entry does not
-    /// show yet, and how long that is believed.
+    /// Its membership after an acknowledged order that its entry does not show
+    /// yet, and until when this is assumed.
     std::optional<group_membership> assumed;
     absl::Time assumed_until = absl::InfinitePast();
-    /// Whether it did not answer when last asked.
+    /// Whether the last probe went unanswered.
     bool silent = false;
-    /// Whether it was busy with an order when last asked.
+    /// Whether it was executing an order at the last probe.
     bool order_running = false;
-    /// When it is to be asked; infinite future if it need not be.
+    /// When to probe it next; infinite future if there is no need.
     absl::Time probe_at = absl::InfiniteFuture();
-    /// The model that it was told to stage, and when that should be done.
+    /// The model that it was ordered to stage, and when that should be done.
     std::string staging_model;
     absl::Time staging_until = absl::InfinitePast();
-    /// The model that it was last told to join for.
+    /// The model of the last group that it was ordered to join or ran in.
     std::string last_model;
-    /// Since when it has been about to stop; infinite future if it is not.
+    /// Since when it has announced its stop; infinite future if it has not.
     absl::Time leaving_since = absl::InfiniteFuture();
-    /// The group that it was told to leave as its head.
+    /// The group that it was ordered to leave as its head.
     std::string leaving_group;
   };
-  /// Drops what was known of a server whose report is of a later start.
+  /// Resets the state of a server whose report is of a later incarnation.
   void reset_after_restart(server_track& track, const server_report& report,
                            absl::Time now);
   /// A group that this holder has decided to form.
@@ -174,7 +178,7 @@
     std::vector<std::string> members;
     absl::Time deadline;
   };
-  /// A group that one host joins to take weights into its engine.
+  /// A group that one host joins to load weights into its engine.
   struct warmup {
     std::string server;
     absl::Time deadline;
@@ -186,17 +190,17 @@
     std::vector<std::string> members;
     /// Members that would have to load the weights from the weight store.
     int loads = 0;
-    /// Groups that stand and would be ended.
+    /// Existing groups that would be dissolved for it.
     int ended = 0;
-    /// Time that the slowest member takes to join.
+    /// Time that the slowest member needs to join.
     absl::Duration slowest = absl::ZeroDuration();
-    /// Free hosts that stay in the domain.
+    /// Free hosts that remain in the domain.
     size_t left = 0;
   };
-  /// Groups that may be ended for a larger model.
+  /// Groups that may be dissolved in favour of a larger model.
   struct dissolvable_groups {
     std::set<std::string> names;
-    /// How many of them that are not spare ones may be.
+    /// How many of them may be groups other than spare groups.
     int beyond_spares = 0;
   };
   /// Ids of hosts that may join a group, by fabric domain.
@@ -208,25 +212,27 @@
 
   // Servers and orders: group-controller.cc.
 
-  /// Takes servers that have come or gone, and what their entries confirm.
+  /// Applies changes of the directory: servers that were added, removed or
+  /// restarted, and assumed memberships that their entries confirm.
   void sync_directory(const server_directory& directory, absl::Time now);
-  /// Asks servers whose state is in doubt.
+  /// Requests reports from servers whose state is uncertain.
   void send_probes(group_actions& out, absl::Time now);
-  /// Takes an order as carried out.
+  /// Updates a server's state after an order that it accepted.
   void on_accepted(server_track& track, const group_order& order,
                    order_result result, absl::Time now);
-  /// Gives a server an order. False while its last one has no result, or its
-  /// count of orders is not known.
+  /// Queues an order to a server. Returns false if its last order has no result
+  /// yet, its count of orders is unknown, or too many orders are pending.
   bool send(const server_entry& entry, group_order order, group_actions& out);
-  /// Whether it is this holder, not the servers, that cannot be reached.
+  /// Whether so many servers are unresponsive that this holder itself is
+  /// probably disconnected from the network.
   bool is_isolated(const server_directory& directory) const;
-  /// Whether the server answers and stays.
+  /// Whether the server answers and has not announced its stop.
   bool usable(const server_entry& entry) const;
-  /// Whether the server is in a data hall that is closed.
+  /// Whether the server is in a closed data hall.
   bool in_closed_hall(const server_entry& entry) const {
     return this->closed_halls.count(entry.hall) != 0;
   }
-  /// The same of a group, by any of its members that are known.
+  /// Whether any known member of a group is in a closed data hall.
   bool in_closed_hall(const service_state& s, const group_view& group) const;
   bool in_closed_hall(const service_state& s,
                       const std::vector<std::string>& members) const;
@@ -234,85 +240,88 @@
   bool may_join(const server_entry& entry) const {
     return this->usable(entry) && !this->in_closed_hall(entry);
   }
-  /// Members of plans, with their plan's model; holds on to the plans' names.
+  /// Maps members of plans to the plan's model. The result refers to strings of
+  /// `plans`.
   models_by_server planned_models() const;
-  /// One service's servers and groups, acknowledged orders included.
+  /// Collects one service's servers and groups, with acknowledged orders taken
+  /// as executed.
   service_state build_service_state(const server_directory& directory,
                                     const backend_service& service) const;
-  /// Decides the next orders for one service.
+  /// Computes the next orders for one service.
   void reconcile_service(const server_directory& directory,
                          const backend_service& service, bool requests_seen,
                          absl::Time now, group_actions& out);
 
-  /// Adds how the models of a service stand, if that is due.
+  /// Adds the summaries of a service's models if they are due.
   void summarize(const service_state& s, absl::Time now, group_actions& out);
 
-  // The end of groups: group-repair.cc.
+  // Opening and dissolving groups: group-repair.cc.
 
   /// Opens a group that is ready, or dissolves one that cannot serve.
   void reconcile_group(service_state& s, const group_view& group,
                        absl::Time now, group_actions& out);
-  /// Why a group is to end; nothing if it may stay.
+  /// The reason to dissolve a group; nullopt if it may stay.
   std::optional<std::string> reason_to_dissolve(const service_state& s,
                                                 const group_view& group,
                                                 absl::Time now);
-  /// Which member a group has lost, or will lose, and how.
+  /// Which member a group has lost or will lose, and how.
   std::optional<std::string> reason_member_lost(const service_state& s,
                                                 const group_view& group,
                                                 absl::Time now) const;
-  /// Whether a group that serves can do so on for now although a member is
-  /// about to stop.
+  /// Whether a serving group can keep serving for now although `leaving` has
+  /// announced its stop.
   bool may_keep_serving(const service_state& s, const group_view& group,
                         const std::string& leaving, absl::Time now) const;
-  /// Takes the next step to end a group.
+  /// Sends the next order needed to dissolve a group.
   void dissolve(const service_state& s, const group_view& group,
                 const std::string& reason, absl::Time now, group_actions& out);
-  /// Ends a group whose head answers, on its way out since `since`.
+  /// Dissolves a group, since `since`, through its head, which answers.
   void dissolve_through_head(const service_state& s, const group_view& group,
                              absl::Time since, absl::Time now,
                              group_actions& out);
-  /// Has the members behind a head that does not answer leave.
+  /// Orders the members of a group whose head does not answer to leave.
   void release_members(const service_state& s, const group_view& group,
                        group_actions& out);
-  /// Has free servers leave groups that are no more.
+  /// Orders free servers to leave groups that no longer exist.
   void clear_stale_memberships(const service_state& s, group_actions& out);
 
-  // The forming of groups: group-formation.cc.
+  // Forming groups: group-formation.cc.
 
-  /// Whether no server has come or gone for a while.
+  /// Whether no server has been added or removed for a while.
   bool server_count_stable(const service_state& s, absl::Time now);
-  /// Whether a server may be told to join a group now.
+  /// Whether a server may be ordered to join a group now.
   bool free_to_join(const service_state& s, const server_entry& entry) const;
-  /// Time that a server would take to join a group of `model`.
+  /// Estimated time for a server to join a group of `model`.
   absl::Duration join_time(const service_state& s, const std::string& server,
                            const model_profile& model, absl::Time now) const;
-  /// Whether a server's last group was one of `model`, so that it still holds
-  /// the weights and joins again at once.
+  /// Whether a server's last group was one of `model`, so that its engine still
+  /// holds the weights and rejoins at once.
   bool last_ran(const service_state& s, const std::string& server,
                 const model_profile& model) const;
-  /// Whether a server would have to load a model's weights to join.
+  /// Whether a server would have to load a model's weights from the weight
+  /// store to join.
   bool needs_load(const service_state& s, const std::string& server,
                   const model_profile& model) const;
-  /// Servers that may join and that no plan holds.
+  /// Servers that may join a group and that no plan uses.
   hosts_by_domain free_hosts(const service_state& s) const;
-  /// Groups of a model that are wanted for the usable hosts, spares left out.
+  /// Number of groups wanted of a model, from the usable hosts without spares.
   double wanted_groups(const service_state& s,
                        const model_profile& model) const;
-  /// Groups that stand or form against those that are wanted.
+  /// Existing and forming groups of a model, as a ratio of those wanted.
   double fill_ratio(const service_state& s, const model_profile& model) const;
   /// Whether each model has the groups that are wanted.
   bool all_models_filled(const service_state& s) const;
-  /// The model that a group is to be formed for next; null if none lacks one.
+  /// The model to form the next group for; null if none lacks one.
   const model_profile* next_model(const service_state& s,
                                   const std::set<std::string>& passed_over,
                                   bool requests_seen) const;
-  /// The hosts that form a group of `model` at the least cost; nothing if no
+  /// The hosts that form a group of `model` at the lowest cost; nullopt if no
   /// domain has enough of them.
   std::optional<group_candidate> best_candidate(const service_state& s,
                                                 const model_profile& model,
                                                 const hosts_by_domain& free,
                                                 absl::Time now) const;
-  /// Plans the groups that are wanted, or stages their hosts first.
+  /// Plans the missing groups, or has their hosts stage the weights first.
   void form_groups(service_state& s, bool requests_seen, absl::Time now,
                    group_actions& out);
   /// The epoch of the next group of this term.
@@ -323,155 +332,160 @@
                   group_actions& out);
   /// Whether all members of a plan may still join.
   bool may_form(const service_state& s, const group_plan& plan) const;
-  /// Tells the members of plans to join, and drops plans that lost one.
+  /// Orders the members of plans to join, and drops plans that lost one.
   void send_joins(const service_state& s, absl::Time now, group_actions& out);
 
-  // Spares that serve: group-spares.cc.
+  // Spare hosts that serve: group-spares.cc.
 
-  /// A model's groups that stand, first those whose hosts repairs need most.
+  /// Names of a model's existing groups, those whose hosts are the most useful
+  /// for repairs first.
   std::vector<std::string> groups_by_repair_value(
       const service_state& s, const model_profile& model) const;
-  /// Groups beyond those that are wanted, whose hosts count as spares.
+  /// Groups beyond those that are wanted; their hosts count as spares.
   std::set<std::string> spare_groups(const service_state& s) const;
-  /// Ends spare groups whose hosts can form a group of `model` without a load.
-  /// Whether such hosts are there, or on their way.
+  /// Dissolves spare groups whose hosts can form a group of `model` without a
+  /// load from the weight store. Returns whether such hosts exist or are being
+  /// freed.
   bool reclaim_spares(service_state& s, const model_profile& model,
                       hosts_by_domain& free, absl::Time now,
                       group_actions& out);
-  /// Whether groups that are wanted give way; never where spares do not serve.
+  /// Whether wanted groups of a smaller model may be dissolved for a larger
+  /// one. Never the case if spare hosts do not serve.
   bool yielding_enabled() const {
     return this->options.spares_serve && this->options.smaller_yield;
   }
-  /// How a model stands, for the question of who gives way.
+  /// A model's number of groups and of wanted groups, for `may_yield`.
   model_group_counts group_counts_of(const service_state& s,
                                      const model_profile& model) const;
-  /// Groups that may be ended so that one of `model` can form.
+  /// Groups that may be dissolved so that one of `model` can form.
   dissolvable_groups find_dissolvable_groups(const service_state& s,
                                              const model_profile& model) const;
-  /// Hosts that could form a group of `model`: free ones, those of groups on
-  /// their way out, and those of `to_end`.
+  /// Hosts that could form a group of `model`: free ones, those of groups being
+  /// dissolved, and those of `to_end`.
   hosts_by_domain reclaimable_hosts(const service_state& s,
                                     const model_profile& model,
                                     const hosts_by_domain& free,
                                     const std::set<std::string>& to_end) const;
-  /// Whether a group that stands is not on its way out.
+  /// Whether a group is not being dissolved.
   bool remains(const std::string& group) const;
-  /// Has free hosts serve in further groups of a model whose weights they hold.
+  /// Forms further groups from free hosts that hold the weights of a model.
   void form_spare_groups(service_state& s, absl::Time now, group_actions& out);
 
-  // Hosts that go to the model that callers ask for: group-division.cc.
+  // Moving hosts between models by demand: group-division.cc.
 
   /// Hosts of one domain that may form a group of another model, and groups
-  /// that would have to give way for more.
+  /// that could be dissolved to get more.
   struct domain_pool;
-  /// A group that is to form of hosts that other groups give.
+  /// A group to be formed from hosts of other groups.
   struct move_plan;
-  /// The hosts that groups may be formed of, those kept for repairs left out.
+  /// The hosts that groups may be formed of, without those kept as spares.
   host_capacity available_capacity(const service_state& s) const;
-  /// A division of hosts, and when it was last thought over.
+  /// The host allocation of a service, and when it was last evaluated.
   struct service_allocation {
     model_shares shares;
     absl::Time at = absl::InfinitePast();
   };
-  /// The division of a service's hosts, begun as stated.
+  /// The host allocation of a service; created with the configured shares.
   service_allocation& allocation_of(const std::string& service);
-  /// Takes up the division of an earlier holder.
+  /// Restores the allocation of a previous holder.
   void restore_allocation(const std::vector<model_share>& known);
-  /// Takes the next second of demand into the division of the hosts.
+  /// Adds the current demand to the history and changes the allocation if that
+  /// is worth its cost.
   void update_allocation(const service_state& s, absl::Time now,
                          group_actions& out);
-  /// Groups of a model that have been missing for longer than a repair takes.
+  /// Number of groups that a model has lacked for longer than a repair takes.
   int persistent_deficit(const service_state& s, const model_profile& model,
                          absl::Time now);
-  /// Groups of a model beyond those that are wanted.
+  /// Number of a model's groups beyond those that are wanted.
   int surplus_groups(const service_state& s, const model_profile& model) const;
-  /// Whether these groups may give way beside those that do already.
+  /// Whether these groups may be dissolved in addition to those already being
+  /// dissolved for another model.
   bool may_dissolve_now(const service_state& s,
                         const std::vector<const group_view*>& ended) const;
-  /// What each domain has for a group of `model`.
+  /// Candidate hosts and groups of each domain for a group of `model`.
   std::map<std::string, domain_pool> domain_pools_for(
       const service_state& s, const model_profile& model) const;
-  /// Hosts of a domain's pool for one group, at the least cost; nothing if they
-  /// do not suffice.
+  /// Selects hosts of a domain's pool for one group at the lowest cost; nullopt
+  /// if there are too few.
   std::optional<move_plan> plan_move(const service_state& s,
                                      const model_profile& model,
                                      const domain_pool& pool,
                                      const count_by_model& left,
                                      absl::Time now) const;
-  /// Whether a host is loading a model's weights, or holds them.
+  /// Whether a host holds a model's weights or is loading them.
   bool has_or_is_loading(const service_state& s, const std::string& id,
                          const model_profile& model, absl::Time now) const;
-  /// Has hosts of models with groups beyond those wanted load the weights of
-  /// models that lack some, and then ends their groups.
+  /// Has hosts of models with surplus groups load the weights of models that
+  /// lack groups, and then dissolves the surplus groups.
   void reassign_hosts(service_state& s, absl::Time now, group_actions& out);
   void reassign_hosts_to(service_state& s, const model_profile& model, int lack,
                          absl::Time now, group_actions& out);
-  /// Takes the next step of the plans for one domain.
+  /// Takes the next step of the moves planned for one domain.
   void execute_moves(service_state& s, const model_profile& model,
                      const std::vector<move_plan>& plans, absl::Time now,
                      group_actions& out);
 
-  // Hosts that take weights into their engines: group-warming.cc.
+  // Hosts that load weights into their engines: group-warming.cc.
 
-  /// Hosts that warm up, by fabric domain.
+  /// Number of hosts that are being warmed up, by fabric domain.
   std::map<std::string, size_t> warming_by_domain(const service_state& s) const;
   /// Whether a free host holds weights that its engine has not run.
   bool may_warm(const service_state& s, const std::string& id,
                 absl::Time now) const;
-  /// Has one host join a group of its own.
+  /// Orders one host to join a group of its own.
   void warm_host(const service_state& s, const std::string& id,
                  const std::vector<std::string>& domain_hosts, absl::Time now,
                  group_actions& out);
-  /// Has free hosts take the weights that they hold into their engines.
+  /// Has free hosts load the weights that they hold into their engines.
   void warm_spares(const service_state& s, bool requests_seen, absl::Time now,
                    group_actions& out);
-  /// Has a host that is warm leave its group.
+  /// Orders a host whose warm-up is complete to leave its group.
   void end_warmup(const service_state& s, const group_view& group,
                   group_actions& out);
 
-  // The staging of weights: group-staging.cc.
+  // Staging of weights: group-staging.cc.
 
-  /// Counts what holders before this one may have loaded.
+  /// Adds the loads that previous holders may have started to the window.
   void count_earlier_loads(const engine_profile& engine, absl::Time now);
-  /// Loads from the weight store that may begin now.
+  /// Number of loads from the weight store that may start now.
   int remaining_loads(const engine_profile& engine, absl::Time now);
-  /// Stages the hosts of `f` that lack the weights.
+  /// Stages the weights on the hosts of `f` that lack them.
   void stage_for(const service_state& s, const group_candidate& f,
                  absl::Time now, group_actions& out);
-  /// Tells one server to stage a model. False if it may not now.
+  /// Orders one server to stage a model. Returns false if it may not now.
   bool stage(const service_state& s, const std::string& id,
              const model_profile& model, bool requests_seen, absl::Time now,
              group_actions& out);
-  /// Counts a host that serves as a spare, and that may be loading a model.
+  /// Counts a host that serves as a spare and may also be loading a model.
   static void count_serving_spare(const server_entry& entry, bool loading,
                                   const std::string& model_loading,
                                   domain_weights& weights);
-  /// Counts a host in a group that is wanted.
+  /// Counts a host of a wanted group.
   void count_member(const server_entry& entry, const server_track& track,
                     absl::Time now, domain_weights& weights) const;
-  /// What the hosts of each domain hold. Adds free hosts with no weights to
-  /// `bare`.
+  /// Counts which weights the hosts of each domain hold. Appends free hosts
+  /// without weights to `bare`.
   std::map<std::string, domain_weights> weights_by_domain(
       const service_state& s, absl::Time now,
       std::vector<std::string>& bare) const;
-  /// Counts the groups that will form once a domain has hosts enough.
+  /// Adds the groups that will form once a domain has enough hosts.
   void count_expected_groups(const service_state& s,
                              domain_weights& weights) const;
-  /// How much a model needs one more spare in a domain that had `fewer` of
-  /// them, in members whose loss it would make good.
+  /// Need of a model for one more spare in a domain, `fewer` of its spares left
+  /// out: members whose loss that spare would cover.
   static double spare_need(const model_profile& model, domain_weights& weights,
                            int fewer);
-  /// Has one spare of a domain load another model's weights, if that model
-  /// needs it far more.
+  /// Has one spare host of a domain load another model's weights if that model
+  /// needs the host far more.
   void restage_spare(const service_state& s, domain_weights& weights,
                      absl::Time now, group_actions& out);
-  /// The model that a domain needs a further spare of most; null if the engine
-  /// has no models.
+  /// The model that most needs another spare host in a domain; null if the
+  /// engine has no models.
   static const model_profile* model_to_stage(const engine_profile& engine,
                                              domain_weights& weights);
-  /// Has some hosts that serve the smallest model hold a larger one's weights,
-  /// while loads are quick and free: they join again for their own model
-  /// without its weights on the host.
+  /// Has some hosts that serve the smallest model stage a larger model's
+  /// weights while loads are quick and not limited. Such a host can rejoin a
+  /// group of its own model without that model's weights on the host.
   void stage_members(const service_state& s, domain_weights& weights,
                      absl::Time now, group_actions& out);
   /// Has free hosts load the weights that repairs will most likely need.
@@ -481,42 +495,43 @@
   group_controller_options options;
   /// Fencing number of the lease; 0 while this node does not hold it.
   int64_t fence = 0;
-  /// Groups planned under `epochs_fence`. A lease that lapses and is renewed
-  /// before anybody else takes it keeps its number, so that the count goes on:
-  /// two groups of one name and epoch cannot be told apart.
+  /// Number of groups planned under `epochs_fence`. A lease that lapses and is
+  /// renewed by the same holder keeps its fencing number, so the count
+  /// continues: two groups of the same name and epoch could not be
+  /// distinguished.
   int64_t epochs = 0;
   int64_t epochs_fence = 0;
   std::map<std::string, server_track> tracks;
   /// Groups of this term by name, until they are dissolved.
   std::map<std::string, group_plan> plans;
-  /// Groups that one host joins to take weights into its engine.
+  /// Groups that one host joins to load weights into its engine.
   std::map<std::string, warmup> warmups;
-  /// Groups whose head surely serves no more.
+  /// Groups whose head is known to serve no longer.
   std::set<std::string> stopped_groups;
-  /// Groups on their way out, and since when.
+  /// Groups that are being dissolved, and since when.
   std::map<std::string, absl::Time> dissolving;
-  /// Groups of earlier holders that are not whole, and since when.
+  /// Incomplete groups of previous holders, and when they were first seen.
   std::map<std::string, absl::Time> incomplete;
   /// When loads from the weight store were ordered, within the load window.
   std::deque<absl::Time> loads;
-  /// What the holder before this one loaded, until it is counted in `loads`.
+  /// Loads of the previous holder, until they are counted in `loads`.
   std::optional<earlier_loads> inherited;
-  /// What callers ask for, and when that was taken.
+  /// Demand in all data halls, and when it was last updated.
   std::optional<demand_view> demand;
   absl::Time demand_at = absl::InfinitePast();
-  /// The division of each service's hosts.
+  /// The host allocation by service.
   std::map<std::string, service_allocation> allocations;
-  /// Groups that give way to another model.
+  /// Groups dissolved so that their hosts go to another model.
   std::set<std::string> reassigned_groups;
   /// Since when a model has lacked groups, by service and model.
   std::map<std::pair<std::string, std::string>, absl::Time> lacking_since;
-  /// Open questions for servers' reports, and orders without a result.
+  /// Outstanding report requests, and orders without a result.
   congestion_window pending_probes;
   congestion_window pending_orders;
   absl::Duration loop_delay = absl::ZeroDuration();
   /// Data halls whose servers get no requests.
   std::set<std::string> closed_halls;
-  /// Servers at the last count and since when there are so many, by service.
+  /// Number of servers at the last step, and since when it has not changed.
   struct server_count_record {
     size_t servers = 0;
     absl::Time since = absl::InfinitePast();
--- a/include/spokesail/group-yield.h
+++ b/include/spokesail/group-yield.h
@@ -1,30 +1,30 @@
-// Which model's groups give way when another model lacks some.
+// Decides which model's groups may be dissolved for a model that lacks some.
 #pragma once
 
 namespace spokesail {
 
-/// How a model stands in the fleet.
+/// Group counts of a model.
 struct model_group_counts {
-  /// Groups that stand or form.
+  /// Groups that exist or form.
   int groups = 0;
-  /// Groups that its share of the hosts makes up.
+  /// Groups that the model's share of the hosts amounts to.
   double wanted = 1;
   bool operator==(const model_group_counts&) const = default;
 };
 
-/// A model with no more than this part of the groups that its share makes up
-/// has hardly any left: those that stand are full, and most of its requests are
-/// refused.
+/// A model whose groups are at most this fraction of those wanted has hardly
+/// any left: the remaining ones are full and most of its requests are refused.
 constexpr double scarce_fill_ratio = 0.35;
 
-/// What a model keeps of its own groups when it gives some to such a model.
-/// Groups of the engines that are served run half of what they have room for.
+/// Fraction of its wanted groups that a model keeps when it gives up some for
+/// such a model. Groups of the engines that are served run half of the requests
+/// that they have capacity for.
 constexpr double donor_min_fill_ratio = 0.65;
 
-/// Whether `giver` may end `count` more of its groups so that `taker` gets one
-/// more: those beyond its share, and others if `taker` has hardly any left.
-/// It does not give on for as long as it has more groups, since these are
-/// missed in bursts.
+/// Whether `giver` may dissolve `count` more of its groups so that `taker` gets
+/// one more. It may dissolve those beyond its share, and others if `taker` has
+/// hardly any left. A merely larger fill ratio of `giver` is not enough, since
+/// its groups are needed in bursts.
 bool may_yield(const model_group_counts& giver, const model_group_counts& taker,
                int count);
 
--- a/include/spokesail/placement.h
+++ b/include/spokesail/placement.h
@@ -1,4 +1,5 @@
-// Which hosts form which serving groups: one document per data hall.
+// The placement: which hosts form which serving groups, one document per data
+// hall.
 #pragma once
 
 #include <absl/time/time.h>
@@ -25,22 +26,22 @@
   std::string hall;
   std::string domain;
   int accelerators = 0;
-  /// The plain service it runs; empty for a model engine.
+  /// The plain service that it runs; empty for a model engine.
   std::string service;
   /// Whether its backend server refuses orders with an old fencing number.
   bool checks_fencing = false;
-  /// Whether the platform says that it is leaving.
+  /// Whether the platform reports that it is leaving.
   bool leaving = false;
   bool operator==(const host_info&) const = default;
 };
 
-/// What a group is meant to do. Only a serving group may take requests.
+/// The planned state of a group. Only a serving group may take requests.
 enum class group_phase { loading, serving, draining };
 
 /// One replica of a model over its hosts; the first host leads.
 struct group {
   std::string name;
-  /// Grows whenever the group's hosts change.
+  /// Increases whenever the group's hosts change.
   int64_t incarnation = 0;
   std::string model;
   std::string version;
@@ -68,13 +69,13 @@
 /// A phase's name, for documents and logs.
 const char* phase_name(group_phase phase);
 
-/// The hosts that stand in more than one group; empty for a sound placement.
+/// The hosts that are in more than one group; empty for a valid placement.
 std::vector<std::string> shared_hosts(const placement& p);
 
 /// What is known of one host when planning.
 struct host_view {
   host_info info;
-  /// The present report, if the host is present.
+  /// The current report, if the host is present.
   std::optional<host_report> report;
   host_load load;
   /// When the load was observed.
@@ -94,7 +95,7 @@
   std::vector<std::string> free_hosts;
   int warm = 0;
   int total = 0;
-  /// Hosts of the largest group that stands in the domain.
+  /// Number of hosts of the largest group in the domain.
   int largest_group = 0;
 };
 
@@ -103,8 +104,8 @@
  public:
   virtual ~domain_policy() = default;
   virtual const char* name() const = 0;
-  /// The index of the domain to take `need` hosts from, among supplies that
-  /// all have enough. `sizes` are the replica sizes in use in the hall.
+  /// The index of the domain to take `need` hosts from, among supplies that all
+  /// have enough. `sizes` are the replica sizes in use in the hall.
   virtual size_t choose(const std::vector<domain_supply>& supplies, int need,
                         const std::vector<int>& sizes) const = 0;
 };
@@ -113,15 +114,16 @@
 std::unique_ptr<domain_policy> make_first_fit();
 /// Takes the domain that is left with the fewest hosts.
 std::unique_ptr<domain_policy> make_best_fit();
-/// Takes the domain whose rest strands the fewest hosts, if possible not the
-/// last spare of a larger group, and then the fullest.
+/// Takes the domain whose remaining hosts include the fewest that no replica
+/// can use; among those, avoids the last spare of a larger group, and then
+/// takes the fullest.
 std::unique_ptr<domain_policy> make_whole_replica_fit();
 
-/// The ways to choose a domain that can be named.
+/// The available policies.
 enum class policy_kind { first_fit, best_fit, whole_replica };
 std::unique_ptr<domain_policy> make_policy(policy_kind kind);
 
-/// What a plan is made from.
+/// Input of a plan.
 struct plan_input {
   const configuration* config = nullptr;
   std::string hall;
@@ -130,7 +132,7 @@
   absl::Time now;
   /// When each group began to drain, as far as this node knows.
   std::map<std::string, absl::Time> draining_since;
-  /// Time that a drain needs to be in force on all nodes.
+  /// Time until a drain is in effect on all nodes.
   absl::Duration drain_settle = absl::Seconds(3);
   const domain_policy* policy = nullptr;
 };
@@ -143,14 +145,14 @@
   bool operator==(const plan_change&) const = default;
 };
 
-/// A plan: the next placement and what it changes.
+/// A plan: the next placement and its changes.
 struct plan_result {
   placement next;
   std::vector<plan_change> changes;
 };
 
-/// Plans the next placement. It never puts a host into two groups and gives
-/// the current placement back when there is nothing to change.
+/// Plans the next placement. It never puts a host into two groups, and returns
+/// the current placement when there is nothing to change.
 plan_result plan(const plan_input& in);
 
 }  // namespace spokesail
--- a/src/congestion-window.cc
+++ b/src/congestion-window.cc
@@ -1,4 +1,4 @@
-// The size of the window over open questions.
+// Adapts the size of the window to answers and losses.
 #include "spokesail/congestion-window.h"
 
 #include <algorithm>
--- a/src/controller.cc
+++ b/src/controller.cc
@@ -113,7 +113,7 @@
         call_kind::read, {kinds::placement, this->hall}, 0, {}};
   }
   std::swap(actions.changes, this->pending_changes);
-  // A higher number in the document: this lease has been taken over.
+  // A higher fencing number in the document: another holder has the lease.
   if (this->current.fence > this->term_fence) return std::nullopt;
   if (!this->placement_owned) {
     placement own = this->current;
@@ -163,7 +163,7 @@
     take(found);
     this->placement_owned = this->current.fence == this->term_fence;
   } else {
-    // Someone else wrote: read again, and write nothing until then.
+    // Another writer won: read the document again before the next write.
     this->placement_read = false;
     this->placement_owned = false;
     this->pending_changes.clear();
@@ -194,8 +194,9 @@
   in.draining_since = this->draining_since;
   in.drain_settle = this->timing.drain_settle;
   in.policy = this->policy.get();
-  // An order of the last holder may still be on its way to a host that does
-  // not check fencing numbers; nor is a host given away under our own order.
+  // An order of the last holder may still be on its way to a host that does not
+  // check fencing numbers. Nor is a host given to another group while an order
+  // of this holder is outstanding.
   const absl::Time quiet = this->term_since + 2 * this->timing.order_deadline;
   for (auto& [name, host] : in.hosts) {
     if (!host.info.checks_fencing) host.reassign_after = quiet;
@@ -331,7 +332,7 @@
   }
   for (auto& [domain, hosts] : spares) {
     auto demands = this->spare_demands(view, domain);
-    // Hosts that have, or are loading, what is asked for stay as they are.
+    // Hosts that hold or are loading what is needed are left as they are.
     std::erase_if(hosts, [&](const host_view* host) {
       for (auto& demand : demands) {
         if (demand.count <= 0 || !holds_weights(*host->report, *demand.model)) {
@@ -346,7 +347,7 @@
       const auto open =
           std::find_if(demands.begin(), demands.end(),
                        [](const auto& demand) { return demand.count > 0; });
-      // Groups that wait for weights have taken their share before.
+      // Groups that wait for weights come first and are counted already.
       if (open == demands.end() || budget.loading >= budget.limit) break;
       if (!this->may_send(host->info.name, now)) continue;
       open->count--;
--- a/src/demand-table.cc
+++ b/src/demand-table.cc
@@ -1,4 +1,4 @@
-// The words of peers and halls, and their sums.
+// Stores the reports of peers and halls and sums them up.
 #include "spokesail/demand-table.h"
 
 #include <algorithm>
--- a/src/demand-window.cc
+++ b/src/demand-window.cc
@@ -1,4 +1,4 @@
-// The counts of the last seconds, and their mean.
+// Counts requests by second and averages them.
 #include "spokesail/demand-window.h"
 
 namespace spokesail {
--- a/src/domain-policy.cc
+++ b/src/domain-policy.cc
@@ -1,4 +1,4 @@
-// The ways to choose a fabric domain for a new replica.
+// The policies that choose a fabric domain for a new replica.
 #include <algorithm>
 #include <tuple>
 
@@ -32,7 +32,8 @@
   }
 };
 
-/// The most hosts of `free` that whole replicas of `sizes` can fill.
+/// The largest number of hosts, at most `free`, that whole replicas of `sizes`
+/// can use.
 int max_filled_hosts(int free, const std::vector<int>& sizes) {
   std::vector<int> most(static_cast<size_t>(free) + 1, 0);
   for (int n = 1; n <= free; n++) {
@@ -63,9 +64,10 @@
   }
 
  private:
-  // Hosts that the replica strands; then whether it takes the last spare of a
-  // larger group; then the fuller domain, which leaves the others whole for
-  // large replicas; then warm hosts passed over.
+  // Compared in this order: hosts that the replica makes unusable; whether it
+  // takes the last spare of a larger group; free hosts, so that the fuller
+  // domain is chosen and the others keep room for large replicas; warm hosts
+  // that are not used.
   std::tuple<int, bool, int, int> cost(const domain_supply& supply, int need,
                                        const std::vector<int>& sizes) const {
     const int free = static_cast<int>(supply.free_hosts.size());
--- a/src/group-controller-runner.cc
+++ b/src/group-controller-runner.cc
@@ -1,4 +1,4 @@
-// Orders and reports of the group controller.
+// Sends the group controller's orders and report requests.
 #include "group-controller-runner.h"
 
 #include <absl/strings/str_cat.h>
@@ -15,25 +15,25 @@
 /// Period of the controller's steps while this node holds the lease.
 constexpr absl::Duration step_period = absl::Milliseconds(40);
 
-/// Period at which other nodes look whether they hold it.
+/// Period at which other nodes check whether they hold it.
 constexpr absl::Duration idle_period = absl::Milliseconds(100);
 
-/// The controller is told this often what callers ask for, and the log.
+/// Intervals at which demand is passed to the controller and logged.
 constexpr absl::Duration demand_period = absl::Milliseconds(500);
 constexpr absl::Duration demand_log_period = absl::Seconds(2);
 
-/// An order or a report that has no answer after this long has lost it; a
-/// server answers in a few milliseconds.
+/// Timeouts of an order and of a report request; a server answers within a few
+/// milliseconds.
 constexpr absl::Duration order_timeout = absl::Milliseconds(500);
 constexpr absl::Duration report_timeout = absl::Milliseconds(150);
 
-/// A loop that was late reads answers late, so that a question waits longer by
-/// this many times its worst delay of late: once for the sending and once for
-/// the reading.
+/// A node whose loop is delayed reads answers late, so the timeout of a report
+/// request grows by this multiple of the loop's worst recent delay: once for
+/// sending and once for reading.
 constexpr double delay_allowance = 2;
 
-/// A holder's word was said this long before it was heard at most: two levels
-/// of relays pass it on every 0.18 s.
+/// Upper bound on the age of a holder state when it is received: two levels of
+/// relays forward it every 0.18 s.
 constexpr absl::Duration max_status_age = absl::Milliseconds(500);
 
 }  // namespace
--- a/src/group-controller-runner.h
+++ b/src/group-controller-runner.h
@@ -1,4 +1,4 @@
-// The duty of forming groups, held by one node at a time under a lease.
+// Runs the group controller on the node that holds its lease.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -11,7 +11,7 @@
 
 namespace spokesail {
 
-/// Carries out what the controller decides while this node holds the lease.
+/// Carries out the controller's decisions while this node holds the lease.
 class group_controller_runner {
  public:
   group_controller_runner(node_context& node, lease_manager& manager);
@@ -19,22 +19,22 @@
   /// Runs until the process ends.
   boost::asio::awaitable<void> run();
 
-  /// What the holder says beside the lease itself.
+  /// The holder state that is sent along with the lease.
   holder_state word() const;
 
-  /// Takes a suspicion.
+  /// Reports a server that may be down to the controller.
   void suspect(const std::string& server);
 
  private:
-  /// Has the controller begin or end with the lease.
+  /// Starts or ends the controller's term when the lease is taken or lost.
   void sync_with_lease();
-  /// Loads of the holder before this one, as far as this node heard of them.
+  /// Loads of the previous holder, as far as this node received its state.
   earlier_loads known_earlier_loads() const;
-  /// The division of hosts that was last in force, as far as this node knows.
+  /// The last shares in force that this node knows of.
   std::vector<model_share> known_shares() const;
-  /// Tells the controller what callers ask for.
+  /// Passes the current demand to the controller.
   void update_demand();
-  /// Carries out the controller's next decisions.
+  /// Runs one step of the controller and carries out its result.
   void step();
   void log_summaries(const std::vector<model_summary>& models);
   void log_notes(const std::vector<controller_event>& notes);
@@ -47,13 +47,13 @@
   node_context& node;
   lease_manager& manager;
   group_controller controller;
-  /// Whether the controller acts.
+  /// Whether the controller is in a term.
   bool term_active = false;
-  /// The division of this node's last term, and when that ended.
+  /// The shares at the end of this node's last term, and when that was.
   std::vector<model_share> last_shares;
   absl::Time last_term_end = absl::InfinitePast();
-  /// When the controller was last told what callers ask for, and when that was
-  /// last logged.
+  /// When demand was last passed to the controller, and when it was last
+  /// logged.
   absl::Time demand_updated = absl::InfinitePast();
   absl::Time demand_logged = absl::InfinitePast();
 };
--- a/src/group-controller.cc
+++ b/src/group-controller.cc
@@ -1,4 +1,4 @@
-// The controller's step, and what it learns from servers' answers.
+// The controller's step and its handling of servers' answers.
 #include "spokesail/group-controller.h"
 
 #include <absl/strings/str_cat.h>
@@ -10,20 +10,20 @@
 namespace spokesail {
 namespace {
 
-/// A server that refused an order is asked for its state after this long, and
-/// not at once: it may be busy with an earlier order.
+/// Delay before a server that refused an order is probed. It is not probed at
+/// once, since it may be busy with an earlier order.
 constexpr absl::Duration refused_probe_delay = absl::Milliseconds(250);
 
-/// A server that was busy with an order is asked again after this long: a
-/// small part of a load, and each question is priced.
+/// Interval at which a server that is busy with an order is probed. It is a
+/// small part of the time of a load, and each probe has a cost.
 constexpr absl::Duration busy_probe_delay = absl::Seconds(2);
 
-/// So many silent servers do not yet show that the holder itself is cut off,
-/// however small the fleet is.
+/// Up to this number of unresponsive servers does not show that the holder
+/// itself is disconnected, however small the fleet is.
 constexpr size_t max_ignored_silent = 2;
 
-/// Period of the summary of models; frequent enough to see in a log why a
-/// group was missing when a request found no place.
+/// Period of the summary of models; short enough to see in a log why a group
+/// was missing when a request found none.
 constexpr absl::Duration summary_period = absl::Seconds(2);
 
 /// Whether a member in this phase has its model's weights in its engine.
@@ -32,13 +32,14 @@
          phase == member_phase::closing;
 }
 
-/// The servers of one data hall.
+/// Number of servers of one data hall.
 struct hall_count {
   int servers = 0;
   int silent = 0;
 };
 
-/// Whether a server's own word confirms what it was assumed to have become.
+/// Whether a server's reported membership confirms or supersedes the assumed
+/// one.
 bool confirms(const group_membership& said, const group_membership& assumed) {
   if (assumed.phase == member_phase::none) {
     return said.phase == member_phase::none || said.epoch > assumed.epoch;
@@ -49,7 +50,7 @@
                   said.phase != member_phase::ready);
 }
 
-/// What a server is a member of once it has carried `order` out.
+/// A server's membership after it has executed `order`.
 group_membership membership_after(const group_order& order) {
   group_membership after;
   after.group = order.group;
@@ -129,7 +130,7 @@
 void group_controller::on_accepted(server_track& track,
                                    const group_order& order,
                                    order_result result, absl::Time now) {
-  // A leave is done at once, so it is answered as done although it counts.
+  // A leave completes at once and is answered as done, but is counted.
   const bool counted =
       result == order_result::begun || order.kind == group_order_kind::leave;
   if (counted) track.orders_started = order.expected_orders + 1;
@@ -146,7 +147,7 @@
 void group_controller::on_report(const std::string& server,
                                  const std::optional<server_report>& report,
                                  absl::Time now) {
-  // An answer to a question of an earlier term is as good as any.
+  // An answer to a probe of an earlier term is just as valid.
   this->pending_probes.ended(server, report.has_value(), this->loop_delay, now);
   const auto found = this->tracks.find(server);
   if (found == this->tracks.end()) return;
@@ -157,7 +158,7 @@
     return;
   }
   if (report->incarnation != 0 && report->incarnation < track.incarnation) {
-    // It was under way when the server started again.
+    // The report was sent before the server restarted.
     track.probe_at = now;
     return;
   }
@@ -167,7 +168,7 @@
   track.probe_at = absl::InfiniteFuture();
   if (!track.pending) track.orders_started = report->orders_started;
   track.order_running = report->order_running;
-  // It is asked again, since the end of a load that failed changes no entry.
+  // Probed again, since a load that fails does not change the entry.
   if (track.order_running) track.probe_at = now + busy_probe_delay;
 }
 
@@ -178,7 +179,7 @@
   if (known_before) track = server_track();
   track.incarnation = report.incarnation;
   if (!known_before) return;
-  // Its entry may still be that of the earlier start.
+  // Its entry may still be that of the earlier incarnation.
   track.assumed = report.membership;
   track.assumed_until = now + this->options.assumption_ttl;
 }
@@ -215,7 +216,7 @@
   for (const auto& [id, server] : directory.servers()) {
     if (server.entry.domain.empty()) continue;
     server_track& track = this->tracks[id];
-    // A later start knows of no order and belongs to no group.
+    // A later incarnation has executed no orders and is in no group.
     if (server.entry.incarnation > track.incarnation) {
       if (track.incarnation != 0) track = server_track();
       track.incarnation = server.entry.incarnation;
@@ -224,15 +225,15 @@
                           confirms(server.entry.membership, *track.assumed))) {
       track.assumed.reset();
     }
-    // What an earlier holder had it run: it still holds those weights when it
-    // leaves, whatever lies on its host.
+    // A previous holder may have started it: after it leaves, its engine still
+    // holds those weights, whatever is staged on its host.
     if (runs_model(server.entry.membership.phase)) {
       track.last_model = group_model(server.entry.membership.group);
     }
     if (server.entry.draining) {
       track.leaving_since = std::min(track.leaving_since, now);
     }
-    // A load may take far less than it does at most.
+    // The load may have ended well before its upper bound.
     if (staged_on(server.entry, track.staging_model))
       track.staging_until = std::min(track.staging_until, now);
   }
@@ -250,7 +251,7 @@
       out.report_requests.push_back(id);
     }
   };
-  // Whoever is in doubt comes before those that were never asked.
+  // Servers in doubt are probed before those that were never probed.
   ask_where([&](const server_track& t) { return now >= t.probe_at; });
   ask_where([&](const server_track& t) {
     return !t.orders_started && !t.pending &&
@@ -306,8 +307,8 @@
 
 bool group_controller::is_isolated(const server_directory& directory) const {
   if (this->silent_servers().size() <= max_ignored_silent) return false;
-  // A data hall that is cut off from a sound holder is silent as a whole, so
-  // halls are counted rather than servers.
+  // If a data hall is cut off, all of its servers are unresponsive although the
+  // holder is sound, so halls are counted rather than servers.
   std::map<std::string, hall_count> halls;
   for (const auto& [id, track] : this->tracks) {
     const server_entry* entry = directory.find(id);
--- a/src/group-division.cc
+++ b/src/group-division.cc
@@ -1,4 +1,4 @@
-// Moves hosts to the model that callers ask for.
+// Moves hosts to the models that have demand.
 #include <absl/strings/str_cat.h>
 
 #include <algorithm>
@@ -10,14 +10,15 @@
 namespace spokesail {
 namespace {
 
-/// Demand is taken into the division this often.
+/// Interval at which demand is added to the history.
 constexpr absl::Duration allocation_period = absl::Seconds(1);
 
 /// A model that lacks groups for longer than this lacks hosts: a repair with
-/// hosts that hold the weights takes less.
+/// hosts that hold the weights takes less time.
 constexpr absl::Duration max_repair_time = absl::Seconds(4);
 
-/// Part of a model's groups that give way at once; one domain's always may.
+/// Fraction of a model's groups that may be dissolved for other models at a
+/// time. Those of one domain always may.
 constexpr double max_reassigned_fraction = 0.25;
 
 std::string counts_text(const count_by_model& counts) {
@@ -37,37 +38,37 @@
   return out;
 }
 
-/// The log line of a change, made on words of this age.
+/// The log event of a change that was made on reports of this age.
 controller_event allocation_event(const std::string& service,
                                   const allocation_change& change,
                                   absl::Duration age) {
   return {"hosts_divided", service,
           absl::StrCat("from ", counts_text(change.from), " to ",
                        counts_text(change.to), " for need ",
-                       needs_text(change.need), " seen ",
-                       absl::FormatDuration(change.seen), " word_age ",
+                       needs_text(change.need), " observed for ",
+                       absl::FormatDuration(change.seen), " report_age ",
                        absl::FormatDuration(age), " gain ",
-                       std::round(change.gain * 100) / 100, " least ",
+                       std::round(change.gain * 100) / 100, " lowest ",
                        std::round(change.min_gain * 100) / 100)};
 }
 
 }  // namespace
 
-/// Hosts of one domain, and groups that may give more.
+/// Hosts of one domain, and groups that may be dissolved for more.
 struct group_controller::domain_pool {
   std::string domain;
-  /// Hosts in no group, or in one that is on its way out.
+  /// Hosts in no group, or in one that is being dissolved.
   std::vector<std::string> hosts;
-  /// Groups that may give way, with their model.
+  /// Groups that may be dissolved.
   std::vector<const group_view*> groups;
 };
 
 struct group_controller::move_plan {
   std::string domain;
   std::vector<std::string> members;
-  /// Groups that have to give way.
+  /// Groups that have to be dissolved.
   std::vector<const group_view*> ended;
-  /// Members that neither hold the weights nor load them.
+  /// Members that neither hold the weights nor are loading them.
   int loads = 0;
 };
 
@@ -334,7 +335,7 @@
     this->reassigned_groups.insert(group->name);
     s.group_count[group->model]--;
     s.spare_groups.erase(group->name);
-    this->dissolve(s, *group, "its hosts go to " + model.name, now, out);
+    this->dissolve(s, *group, "hosts reassigned to " + model.name, now, out);
   }
 }
 
--- a/src/group-formation.cc
+++ b/src/group-formation.cc
@@ -1,4 +1,4 @@
-// Chooses the hosts of new groups and tells them to join.
+// Selects the hosts of new groups and orders them to join.
 #include <absl/strings/str_cat.h>
 
 #include <algorithm>
@@ -10,14 +10,14 @@
 namespace spokesail {
 namespace {
 
-/// Epochs of one lease term; a term forms far fewer groups than this.
+/// Epochs reserved for each lease term; a term forms far fewer groups.
 constexpr int64_t epochs_per_term = 1000000;
 
-/// Time that a member of the last group of the same model takes to rejoin.
+/// Time in which a member of the last group of the same model rejoins.
 constexpr absl::Duration rejoin_time = absl::Milliseconds(200);
 
-/// Before there are requests, groups are formed once no server has come or
-/// gone for this long, so that all of them are there to choose from.
+/// Before the first request, groups are formed once no server has been added or
+/// removed for this long, so that all servers are there to choose from.
 constexpr absl::Duration stable_time = absl::Milliseconds(600);
 
 }  // namespace
@@ -88,7 +88,7 @@
 
 double group_controller::wanted_groups(const service_state& s,
                                        const model_profile& model) const {
-  // Hosts by domain, since a spare helps only in its own.
+  // Spares are counted by domain, since a spare only helps in its own.
   double used = 0;
   for (const auto& [domain, count] : s.usable_hosts) {
     used += count - std::ceil(count * this->options.spare_share);
@@ -156,8 +156,8 @@
 const model_profile* group_controller::next_model(
     const service_state& s, const std::set<std::string>& passed_over,
     bool requests_seen) const {
-  // At first the largest groups are placed, since they fit into the fewest
-  // places; later the model that lacks most goes first.
+  // Before the first request the largest groups go first, since they fit into
+  // the fewest places; later the model with the lowest fill ratio goes first.
   const model_profile* next = nullptr;
   double least = 1;
   for (const auto& model : s.engine->models) {
@@ -190,8 +190,9 @@
       passed_over.insert(model->name);
       continue;
     }
-    // Before there are requests a load is quick and free. Later, hosts are
-    // staged first, so that they stay of use to any repair meanwhile.
+    // Before the first request a load is quick and not limited. Later, the
+    // hosts stage the weights first, so that they stay available to any repair
+    // meanwhile.
     if (requests_seen && best->loads > 0) {
       this->stage_for(s, *best, now, out);
       passed_over.insert(model->name);
@@ -255,7 +256,7 @@
       this->send(entry, join, out);
     }
   }
-  // A group that some members joined already is dissolved by its own state.
+  // A group that some members have joined is dissolved by its own state.
   for (const auto& name : failed) {
     const bool stands =
         std::any_of(s.groups.begin(), s.groups.end(),
--- a/src/group-repair.cc
+++ b/src/group-repair.cc
@@ -1,4 +1,4 @@
-// Ends groups that have lost a member, and frees those that remain.
+// Dissolves groups that have lost a member, and frees the others.
 #include <absl/strings/str_cat.h>
 
 #include <algorithm>
@@ -8,17 +8,17 @@
 namespace spokesail {
 namespace {
 
-/// How long an incomplete group of an earlier holder may still form. Its
-/// members may have orders on their way.
+/// How long an incomplete group of a previous holder may still form. Its
+/// members may have orders in flight.
 constexpr absl::Duration inherited_group_grace = absl::Milliseconds(2500);
 
-/// Whether a head in this phase serves, or may still come to.
+/// Whether a head in this phase serves or may still start to serve.
 bool phase_may_serve(member_phase phase) {
   return phase == member_phase::open || phase == member_phase::closing ||
          phase == member_phase::ready || phase == member_phase::joining;
 }
 
-/// Whether a head in this phase has requests running.
+/// Whether a head in this phase may have running requests.
 bool has_running_requests(member_phase phase) {
   return phase == member_phase::open || phase == member_phase::closing;
 }
@@ -38,7 +38,7 @@
     this->dissolve(s, group, *reason, now, out);
     return;
   }
-  // Until its hall is open again it is of no use to anybody.
+  // A group in a closed hall is not counted and not opened.
   if (this->in_closed_hall(s, group)) return;
   s.group_count[group.model]++;
   if (group.all_ready && group.head_phase == member_phase::ready) {
@@ -58,15 +58,16 @@
     this->incomplete.erase(group.name);
     return std::nullopt;
   }
-  if (has_running_requests(group.head_phase)) return "not whole although open";
+  if (has_running_requests(group.head_phase))
+    return "open although members are missing";
   const auto plan = this->plans.find(group.name);
   if (plan != this->plans.end()) {
     if (now < plan->second.deadline) return std::nullopt;
-    return "did not form in time";
+    return "not formed before its deadline";
   }
   const auto since = this->incomplete.emplace(group.name, now).first->second;
   if (now - since < inherited_group_grace) return std::nullopt;
-  return "left incomplete by an earlier holder";
+  return "left incomplete by a previous holder";
 }
 
 std::optional<std::string> group_controller::reason_member_lost(
@@ -128,7 +129,7 @@
     this->stopped_groups.insert(group.name);
     return;
   }
-  // Only a group whose members all answer can end its streams.
+  // Streams can only end properly if all members answer.
   const bool all_answer = std::all_of(
       group.members.begin(), group.members.end(), [&](const auto& id) {
         return !id.empty() && s.has_server(id) && !s.track(id).silent;
--- a/src/group-spares.cc
+++ b/src/group-spares.cc
@@ -1,4 +1,4 @@
-// Has hosts that are kept for repairs serve until they are needed.
+// Has spare hosts serve until repairs need them.
 #include <algorithm>
 #include <cstdint>
 #include <map>
@@ -14,8 +14,8 @@
 
 std::vector<std::string> group_controller::groups_by_repair_value(
     const service_state& s, const model_profile& model) const {
-  // Those whose hosts hold the weights of another model come first; of the
-  // others, the newest.
+  // Groups with the most hosts that do not hold this model's weights, but
+  // perhaps another's, come first; of equal ones, the newest.
   std::vector<std::tuple<int64_t, int64_t, std::string>> ranked;
   for (const auto& group : s.groups) {
     if (group.model != model.name) continue;
@@ -71,7 +71,7 @@
   dissolvable_groups out{s.spare_groups};
   const model_group_counts taker = this->group_counts_of(s, model);
   for (const auto& other : s.engine->models) {
-    // A larger group is worth more than the smaller one that it would repair.
+    // A larger group is worth more than the smaller one it would repair.
     if (other.group_size >= model.group_size) continue;
     const model_group_counts giver = this->group_counts_of(s, other);
     const int needed = (model.group_size - 1) / other.group_size + 1;
@@ -106,8 +106,8 @@
       }
     }
   };
-  // Those that are ended already come first, so that the same hosts are found
-  // in each step until they are free.
+  // Groups that are being dissolved come first, so that each step selects the
+  // same hosts until they are free.
   add(true);
   add(false);
   return reach;
@@ -136,8 +136,8 @@
     if (ended.count(group.name) == 0) continue;
     s.spare_groups.erase(group.name);
     s.group_count[group.model]--;
-    this->dissolve(s, group, "its hosts repair a group of " + model.name, now,
-                   out);
+    this->dissolve(s, group, "hosts needed to repair a group of " + model.name,
+                   now, out);
   }
   auto& left = free[best->domain];
   for (const auto& id : best->members) {
--- a/src/group-staging.cc
+++ b/src/group-staging.cc
@@ -1,4 +1,4 @@
-// Has hosts load weights ahead of the groups that will need them.
+// Has hosts load weights before the groups that need them form.
 #include <algorithm>
 #include <cmath>
 
@@ -7,35 +7,36 @@
 namespace spokesail {
 namespace {
 
-/// A staging that takes this much longer than a load is taken to have failed.
+/// A staging order that takes this much longer than a load has failed.
 constexpr absl::Duration stage_slack = absl::Seconds(1);
 
-/// What a model counts as in a domain where it has no member, in members for
-/// each whole share, so that a group of it may form there.
+/// Number of members that a model with a share of 1 counts as in a domain where
+/// it has none, so that a group of it may form there.
 constexpr double absent_model_members = 0.5;
 
-/// How much less each further spare of a model is needed. A first one stands
-/// for the next loss among the members; each further one only for a loss that
-/// comes before hosts are staged anew, which is less likely than in
+/// Exponent by which the need for each further spare of a model falls. The
+/// first one covers the next loss among the members; each further one only a
+/// loss that comes before hosts are staged again, which is less likely than in
 /// proportion.
 constexpr double spare_exponent = 1.5;
 
-/// What stands for the spares of a group that lacks hosts to form.
+/// Lower bound of the number of spares used in `weighted_need`, for a group
+/// that lacks hosts to form.
 constexpr double min_coverage = 0.1;
 
-/// A spare changes its weights only for a model that needs them this many
-/// times as much, since it is of no use while it loads.
+/// A spare changes its weights only for a model whose need is this many times
+/// as high, since it is of no use while it loads.
 constexpr double restage_factor = 2;
 
-/// Hosts of a domain that hold a larger model's weights beside its groups, as a
-/// part of such a group. A loss takes one or two hosts out of a group, and the
-/// next one may come before a load, 12 to 16 s, is over. Hosts that hold them
-/// come back from a restart without those of the model that they served: with
-/// all of them holding the larger model's, smaller groups were missing after a
-/// release instead.
+/// Hosts of a domain that hold a larger model's weights in addition to that
+/// model's groups, as a fraction of the size of one of its groups. A failure
+/// takes one or two hosts out of a group, and the next one may come before a
+/// load, 12 to 16 s, ends. After a restart such hosts do not have the weights
+/// of the model that they served: when all hosts held the larger model's
+/// weights, smaller groups were missing after a release instead.
 constexpr double yield_spare_ratio = 0.5;
 
-/// The model whose groups need the fewest hosts; null if there is none.
+/// The model with the smallest groups; null if there is none.
 const model_profile* smallest_model(const engine_profile& engine) {
   const auto least = std::min_element(
       engine.models.begin(), engine.models.end(),
@@ -43,7 +44,7 @@
   return least == engine.models.end() ? nullptr : &*least;
 }
 
-/// How much a model needs one more spare in a domain.
+/// Need of `members` for one more spare in addition to `spares`.
 double weighted_need(double members, int spares) {
   const double covered = std::max(min_coverage, 1.0 + spares);
   return members / std::pow(covered, spare_exponent);
@@ -53,17 +54,18 @@
 
 /// Hosts of one fabric domain by the model whose weights they hold.
 struct group_controller::domain_weights {
-  /// Members of groups that stand, form, or will once the hosts are there.
+  /// Members of groups that exist, form, or will form once there are enough
+  /// hosts.
   std::map<std::string, int> members;
-  /// Hosts outside of groups, those that are still loading included; below
-  /// zero for a group that lacks hosts to form.
+  /// Hosts outside of groups, those still loading included; negative for a
+  /// group that lacks hosts to form.
   std::map<std::string, int> spares;
-  /// Free hosts that hold weights, and which.
+  /// Free hosts that hold weights, and the model.
   std::map<std::string, std::string> weight_holders;
-  /// Those of them that serve as spares with these very weights, which they
-  /// need not keep on the host to join again.
+  /// Those of them that serve as spares with these very weights. They can
+  /// rejoin without keeping the weights on the host.
   std::set<std::string> rejoining;
-  /// Hosts in groups that are wanted, and the model whose weights they hold.
+  /// Hosts in wanted groups, and the model whose weights they hold.
   std::map<std::string, std::string> serving;
 };
 
@@ -71,7 +73,7 @@
                                            bool loading,
                                            const std::string& model_loading,
                                            domain_weights& weights) {
-  // It joins again for its group's model, and for what it has staged.
+  // It can rejoin for its group's model and for what it has staged.
   const std::string model = group_model(entry.membership.group);
   weights.spares[model]++;
   if (loading) weights.spares[model_loading]++;
@@ -105,13 +107,13 @@
   if (!this->inherited) return;
   const earlier_loads before = *this->inherited;
   this->inherited.reset();
-  // The very first holder follows nobody.
+  // There was no holder before the first one.
   if (this->fence <= 1) return;
   const absl::Duration unheard =
       std::min(now - before.as_of, this->options.load_window);
   if (unheard < absl::ZeroDuration()) return;
-  // Until it lost the lease, an earlier holder may have gone on at the full
-  // rate without this node's hearing of it.
+  // Until it lost the lease, a previous holder may have continued at the full
+  // rate without this node receiving its reports.
   const double most = engine.loads_per_s * this->options.load_excess;
   const int since =
       static_cast<int>(std::ceil(most * absl::ToDoubleSeconds(unheard)));
@@ -146,7 +148,7 @@
 bool group_controller::stage(const service_state& s, const std::string& id,
                              const model_profile& model, bool requests_seen,
                              absl::Time now, group_actions& out) {
-  // An earlier holder may have told it to load; it is not disturbed.
+  // A previous holder may have started a load on it, which goes on.
   if (s.track(id).order_running) return false;
   if (now < s.track(id).staging_until) return false;
   if (requests_seen && this->remaining_loads(*s.engine, now) <= 0) return false;
@@ -203,7 +205,7 @@
   for (const auto& model : s.engine->models) {
     if (this->fill_ratio(s, model) >= 1) continue;
     int& spares = weights.spares[model.name];
-    // Fewer are rather what a repair elsewhere has left.
+    // Fewer spares are probably left over from a repair elsewhere.
     if (2 * spares < model.group_size) continue;
     weights.members[model.name] += model.group_size;
     spares -= model.group_size;
@@ -236,8 +238,8 @@
   auto domains = this->weights_by_domain(s, now, bare);
   for (const auto& id : bare) {
     domain_weights& weights = domains[s.entry(id).domain];
-    // Before there are requests a load is quick, so that a spare first gets
-    // into a group and is then staged for repairs.
+    // Before the first request a load is quick: a spare joins a group first and
+    // is then staged for repairs.
     const bool serves_first = this->options.spares_serve && !requests_seen;
     const model_profile* model = serves_first
                                      ? smallest_model(*s.engine)
@@ -277,14 +279,14 @@
   if (wanted == nullptr) return;
   const double need = spare_need(*wanted, weights, 0);
   for (const auto& [id, held] : weights.weight_holders) {
-    // What a group that is about to form needs stays.
+    // Weights that a group about to form needs are kept.
     if (this->options.follow_demand && s.reserved.count(id) != 0) continue;
     const model_profile* model = find_model(*s.engine, held);
     if (model == wanted) continue;
     const bool spared = model == nullptr || weights.rejoining.count(id) != 0 ||
                         need > restage_factor * spare_need(*model, weights, 1);
     if (!spared) continue;
-    // One at a time: the next step sees what this one changes.
+    // One at a time, so that the next step sees the effect of this one.
     if (this->stage(s, id, *wanted, true, now, out)) return;
   }
 }
--- a/src/group-state.h
+++ b/src/group-state.h
@@ -1,4 +1,4 @@
-// What the parts of the group controller share during one step.
+// State that the parts of the group controller share during one step.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -18,19 +18,19 @@
 struct group_controller::service_state {
   std::string service;
   const engine_profile* engine = nullptr;
-  /// With acknowledged orders taken as carried out.
+  /// With acknowledged orders taken as executed.
   std::map<std::string, listed_server> servers;
   /// Servers that answer and stay, by fabric domain.
   std::map<std::string, int> usable_hosts;
   std::vector<group_view> groups;
-  /// Groups that stand or form, by model.
+  /// Existing and forming groups, by model.
   std::map<std::string, int> group_count;
   /// Groups beyond those that are wanted.
   std::set<std::string> spare_groups;
-  /// Free hosts that a repair under way will need.
+  /// Free hosts that a repair in progress will need.
   std::set<std::string> reserved;
 
-  /// A server, and what the controller knows of it.
+  /// A server's directory entry and its state in the controller.
   struct known_server {
     const listed_server* listed = nullptr;
     const server_track* track = nullptr;
@@ -49,7 +49,7 @@
   }
 };
 
-/// Whether a model's weights lie on a server's host.
+/// Whether a model's weights are staged on a server's host.
 inline bool staged_on(const server_entry& entry, const std::string& model) {
   return std::find(entry.staged.begin(), entry.staged.end(), model) !=
          entry.staged.end();
@@ -58,7 +58,7 @@
   return staged_on(entry, model.name);
 }
 
-/// An order about a group, without what only a join says.
+/// An order for a group, without the fields that only a join has.
 inline group_order make_group_order(group_order_kind kind,
                                     const std::string& group, int64_t epoch) {
   group_order order;
--- a/src/group-warming.cc
+++ b/src/group-warming.cc
@@ -1,15 +1,15 @@
-// Has free hosts take the weights that they hold into their engines.
+// Has free hosts load the weights that they hold into their engines.
 #include "group-state.h"
 
 namespace spokesail {
 namespace {
 
-/// Hosts of one domain that warm up at once while there are requests: one that
-/// does is of no use to a repair for as long as its model takes to load from
-/// the host, one to two seconds.
+/// Limit of hosts of one domain that are warmed up at the same time once there
+/// are requests: such a host is not available to a repair while its model loads
+/// from the host, one to two seconds.
 constexpr size_t max_warming_hosts = 2;
 
-/// What a host may take beyond the time its load from the host needs.
+/// Time allowed for a warm-up beyond that of the load from the host.
 constexpr absl::Duration warm_slack = absl::Seconds(2);
 
 }  // namespace
--- a/src/group-yield.cc
+++ b/src/group-yield.cc
@@ -1,4 +1,4 @@
-// The comparison of two models' standing.
+// Compares the group counts of two models.
 #include "spokesail/group-yield.h"
 
 namespace spokesail {
--- a/src/model-shares.cc
+++ b/src/model-shares.cc
@@ -1,4 +1,5 @@
-// The need of each model, the best division, and when it is worth a change.
+// Computes the need of each model, the best allocation, and whether a change is
+// worthwhile.
 #include "spokesail/model-shares.h"
 
 #include <algorithm>
@@ -11,18 +12,20 @@
 namespace spokesail {
 namespace {
 
-/// A refused request comes back and is counted again.
+/// Fraction of the refused requests that is subtracted from the demand: a
+/// refused request is sent again and then counted a second time.
 constexpr double refused_weight = 0.5;
 
-/// Above this use the slowdown of shared engines is not bounded by the requests
-/// that they have room for; it goes on straight from there.
+/// Utilization above which the slowdown continues along the tangent of 1 / (1 -
+/// use). That formula diverges at full use, and the limit on the requests that
+/// engines run at once does not bound the slowdown there.
 constexpr double linear_from_use = 0.8;
 
-/// Groups that each model keeps where there are data halls enough.
+/// Number of groups that each model keeps if there are enough data halls.
 constexpr int min_groups = 2;
 
-/// Time for which hosts that change serve nobody, beside the loading of
-/// weights that they hold: the end of streams, and joining.
+/// Time for which hosts that change models serve no requests, apart from
+/// loading weights that they hold: the end of streams, and joining.
 constexpr absl::Duration switch_downtime = absl::Seconds(2);
 
 /// Models of an engine, those with the largest groups first.
@@ -45,8 +48,8 @@
   return need * model.group_size * predicted_slowdown(need, groups);
 }
 
-/// The domain where a group of `size` leaves the fewest hosts of no use to the
-/// smallest groups; of those alike, the one with the most hosts.
+/// The domain where a group of `size` leaves the fewest hosts that the smallest
+/// groups cannot use; of equal ones, the one with the most hosts.
 std::vector<int>::iterator best_domain(std::vector<int>& left, int size,
                                        int smallest) {
   auto best = left.end();
@@ -79,7 +82,7 @@
   return out;
 }
 
-/// The longest load that a change costs.
+/// The longest load that a change causes.
 absl::Duration longest_load(const engine_profile& engine,
                             const count_by_model& from,
                             const count_by_model& to) {
@@ -94,7 +97,7 @@
   return out;
 }
 
-/// Hosts of groups that give way, as a part of all that serve.
+/// Hosts of groups that are dissolved, as a fraction of all in groups.
 double moved_fraction(const engine_profile& engine, const count_by_model& from,
                       const count_by_model& to) {
   double moved = 0;
@@ -129,7 +132,7 @@
 
 double predicted_slowdown(double need, int groups) {
   if (need <= 0) return 1;
-  // Without any group, all waits are longer than with one.
+  // Without any group, waits are longer than with one.
   const double use = groups > 0 ? need / groups : 1 + need;
   if (use <= linear_from_use) return 1 / (1 - use);
   const double rest = 1 - linear_from_use;
--- a/src/planner.cc
+++ b/src/planner.cc
@@ -1,4 +1,5 @@
-// Plans the next placement of a data hall from what is wanted and present.
+// Plans the next placement of a data hall from the configuration and the
+// present hosts.
 #include <algorithm>
 
 #include "spokesail/placement.h"
@@ -57,7 +58,7 @@
                        [&](const auto& host) { return this->present(host); });
   }
 
-  /// Serving and whole: what a planned change must not run short of.
+  /// Serving and complete. Planned changes must keep enough such groups.
   bool counts_as_serving(const group& g) const {
     return g.phase == group_phase::serving && this->ready(g);
   }
@@ -95,7 +96,7 @@
     return it == model.replicas.end() ? 0 : it->second;
   }
 
-  /// Groups that became whole start to serve; drained ones end.
+  /// Groups that are complete start to serve; drained ones are released.
   void advance_groups() {
     std::vector<group> kept;
     for (auto& g : this->next.groups) {
@@ -113,7 +114,8 @@
   }
 
   /// A group with a leaving host drains at once, since a leaving server takes
-  /// no new work. Groups that are merely unwanted heed the minimum.
+  /// no new requests. Groups that are merely unwanted drain only as far as the
+  /// minimum of serving groups allows.
   void drain_unwanted() {
     for (auto& g : this->next.groups) {
       if (g.phase == group_phase::draining) continue;
@@ -139,8 +141,9 @@
     });
   }
 
-  /// Whether an unwanted group may go now: either enough others serve, or it
-  /// is the only one of its model in change and the minimum holds without it.
+  /// Whether an unwanted group may be drained now: either enough others serve,
+  /// or no other group of its model is changing and the minimum is met without
+  /// it.
   bool may_retire(const group& g) const {
     if (!this->counts_as_serving(g)) return true;
     const model_config* model = find_model(*this->in.config, g.model);
@@ -162,8 +165,8 @@
     });
   }
 
-  /// Lost members are replaced by spares of the same domain; a group that
-  /// cannot be completed there is dissolved, so that its hosts can serve.
+  /// Replaces lost members by spares of the same domain. A group that cannot be
+  /// completed there is dissolved, so that its hosts can serve.
   void repair_groups() {
     std::vector<size_t> broken;
     for (size_t i = 0; i < this->next.groups.size(); i++) {
@@ -280,8 +283,8 @@
     return {sizes.begin(), sizes.end()};
   }
 
-  /// Hosts for a new replica: within one domain, or across several if the
-  /// model allows it and no domain has enough. Empty if there are none.
+  /// Hosts for a new replica: within one domain, or across several if the model
+  /// allows it and no domain has enough. Empty if there are too few.
   std::vector<std::string> choose_hosts(const model_config& model) const {
     const auto need = static_cast<size_t>(model.hosts_per_replica);
     std::vector<domain_supply> fitting;
@@ -346,7 +349,7 @@
     }
   }
 
-  /// Replicas beyond the wanted number drain, those not serving first.
+  /// Drains replicas beyond the wanted number, those not serving first.
   void drain_surplus() {
     for (const auto& model : this->in.config->models) {
       int surplus =
--- a/test/congestion-window-test.cc
+++ b/test/congestion-window-test.cc
@@ -1,5 +1,5 @@
-// A holder of the lease that has far more servers to ask than it can read
-// answers from at once.
+// A lease holder that has to probe far more servers than it can read answers
+// from at once.
 #include "spokesail/congestion-window.h"
 
 #include <absl/strings/str_cat.h>
@@ -15,7 +15,7 @@
 
 const absl::Time start = absl::FromUnixSeconds(100);
 
-/// Delays of a node's own loop.
+/// Delays of a node's own event loop.
 const absl::Duration in_time = absl::Milliseconds(5);
 const absl::Duration late = absl::Milliseconds(150);
 
@@ -35,8 +35,8 @@
   EXPECT_EQ(window.limit(), (first + 4) / 2);
 }
 
-/// The load of a fabric domain or a data hall that goes dark.
-TEST(congestion_window, servers_that_are_gone_do_not_narrow_it) {
+/// A fabric domain or a data hall whose servers all fail.
+TEST(congestion_window, failed_servers_do_not_shrink_it) {
   congestion_window window;
   const double first = window.limit();
   for (int i = 0; i < 37; ++i) {
@@ -63,7 +63,7 @@
   EXPECT_EQ(window.limit(), limits.most);
 }
 
-TEST(congestion_window, knows_which_questions_are_open) {
+TEST(congestion_window, tracks_outstanding_calls) {
   congestion_window window;
   window.sent("s");
   EXPECT_TRUE(window.asks("s"));
@@ -104,7 +104,8 @@
     this->open.push_back({id, now});
   }
 
-  /// Reads what fits until `now`; what waited too long counts as unanswered.
+  /// Reads the answers that fit until `now`; those that waited too long count
+  /// as unanswered.
   void read(group_controller& controller, absl::Time now) {
     this->free_at = std::max(this->free_at, now - step);
     while (!this->open.empty()) {
@@ -121,7 +122,7 @@
     }
   }
 
-  /// How long what is open takes to read.
+  /// How long it takes to read the outstanding answers.
   absl::Duration backlog() const {
     return static_cast<double>(this->open.size()) * this->read_time;
   }
@@ -139,9 +140,10 @@
   std::deque<question> open;
 };
 
-/// The pattern of a takeover: 925 servers whose state the new holder has to
-/// learn, on a node that takes 1.5 ms for each answer.
-TEST(congestion_window, a_slow_holder_takes_no_server_for_silent) {
+/// A takeover: the new holder has to probe 925 servers, on a node that takes
+/// 1.5 ms for each answer. It must not take its own slowness for unresponsive
+/// servers.
+TEST(congestion_window, a_slow_holder_considers_no_server_silent) {
   group_controller controller{group_controller_options{}};
   controller.start_term(2);
   const server_directory directory = large_directory();
@@ -163,7 +165,7 @@
     for (const auto& id : actions.report_requests) reader.ask(id, now);
   }
   EXPECT_TRUE(controller.silent_servers().empty());
-  // 925 answers of 1.5 ms take 1.4 s; asking in rounds of a step adds to it.
+  // 925 answers of 1.5 ms take 1.4 s; sending probes once a step adds to it.
   EXPECT_LT(last_question - start, absl::Seconds(2));
 }
 
--- a/test/demand-window-test.cc
+++ b/test/demand-window-test.cc
@@ -1,4 +1,4 @@
-// What nodes count of their callers' requests, and the sums over halls.
+// Counting requests at a node, and their sums over halls.
 #include "spokesail/demand-window.h"
 
 #include <absl/strings/str_cat.h>
@@ -11,8 +11,8 @@
 
 const absl::Time began = absl::FromUnixSeconds(1000);
 
-/// The load of a node with a steady 30 requests a second.
-TEST(demand_window, gives_the_rates_of_the_last_whole_seconds) {
+/// A node with a steady 30 requests a second.
+TEST(demand_window, returns_rates_of_the_last_whole_seconds) {
   demand_window window;
   for (int i = 0; i < 30 * 5; ++i) {
     const absl::Time at = began + i * absl::Seconds(1) / 30;
@@ -27,9 +27,9 @@
   EXPECT_NEAR(rates[0].refused, 10, 0.5);
 }
 
-/// A model whose callers have all gone is said to be asked for by nobody, so
-/// that its silence is not taken for a lost word.
-TEST(demand_window, says_that_a_model_is_no_longer_asked_for) {
+/// A model without requests for a while is reported with zero rates, so that
+/// the missing report is not taken for a lost one.
+TEST(demand_window, reports_zero_rates_for_a_model_without_requests) {
   demand_window window;
   window.arrive("lm", "large", {100, 20}, began);
   const auto rates = window.rates(began + absl::Seconds(60));
@@ -37,7 +37,7 @@
   EXPECT_EQ(rates[0].requests, 0);
 }
 
-TEST(demand_window, counts_a_bounded_number_of_models) {
+TEST(demand_window, limits_the_number_of_models) {
   demand_window window;
   const int most = static_cast<int>(demand_window::max_models);
   for (int i = 0; i < 2 * most; ++i) {
@@ -51,7 +51,7 @@
   return {{"lm", "large", requests, 100 * requests, 20 * requests, 0}};
 }
 
-TEST(demand_table, sums_nodes_and_halls_up) {
+TEST(demand_table, sums_up_nodes_and_halls) {
   demand_table table;
   table.update_node("n1", "h0", word(10), began);
   table.update_node("n2", "h0", word(20), began);
@@ -64,9 +64,9 @@
   EXPECT_EQ(all.missing_halls, 0);
 }
 
-/// A hall counts once, whether its nodes speak for themselves or its first
-/// node speaks for them.
-TEST(demand_table, a_halls_word_replaces_its_nodes_words_and_they_it) {
+/// A hall is counted once, whether its nodes report or its first node reports
+/// for all of them.
+TEST(demand_table, reports_of_a_hall_and_of_its_nodes_replace_each_other) {
   demand_table table;
   table.update_node("n1", "h1", word(10), began);
   table.update_hall("h1", word(40), began);
@@ -75,8 +75,8 @@
   EXPECT_EQ(table.total({}, began).models, word(10));
 }
 
-/// A hall that is cut off.
-TEST(demand_table, a_silent_hall_is_missing_and_later_gone) {
+/// A hall that is cut off from the others.
+TEST(demand_table, a_silent_hall_is_missing_and_later_dropped) {
   demand_table table;
   table.update_hall("h1", word(40), began);
   table.update_hall("h2", {}, began);
--- a/test/group-controller-test.cc
+++ b/test/group-controller-test.cc
@@ -1,4 +1,4 @@
-// The group controller against the emulator, in virtual time.
+// Tests of the group controller against the fleet emulator, in virtual time.
 #include "spokesail/group-controller.h"
 
 #include <absl/strings/str_cat.h>
@@ -35,7 +35,7 @@
   return {engine_service(), seed, options, domains, hosts};
 }
 
-/// Options under which spares wait idle for repairs.
+/// Options under which spare hosts do not serve.
 group_controller_options idle_spares() {
   group_controller_options options;
   options.spares_serve = false;
@@ -68,11 +68,11 @@
   EXPECT_TRUE(run.fleet.breaches().empty());
 }
 
-TEST(group_controller, has_spares_serve_and_stages_them_for_repairs) {
+TEST(group_controller, lets_spares_serve_and_stages_them_for_repairs) {
   const fleet_run run = standing_fleet(1);
   EXPECT_EQ(run.fleet.serving("large"), 6);
   EXPECT_EQ(run.fleet.serving("small"), 12);
-  // Two hosts of each domain serve the one model and hold the other's weights.
+  // Two hosts of each domain serve one model and hold the other's weights.
   int ready_for_both = 0;
   for (const auto& [id, server] : run.fleet.directory().servers()) {
     const server_entry& entry = server.entry;
@@ -83,7 +83,7 @@
   EXPECT_TRUE(run.fleet.breaches().empty());
 }
 
-TEST(group_controller, takes_a_serving_spare_back_for_a_repair) {
+TEST(group_controller, reclaims_a_serving_spare_for_a_repair) {
   fleet_run run = standing_fleet(2);
   const std::string lost = member_of(run, "large", 2);
   run.fleet.kill(lost, run.now);
@@ -94,9 +94,9 @@
   EXPECT_TRUE(run.fleet.breaches().empty());
 }
 
-TEST(group_controller, ends_no_larger_group_to_repair_a_smaller_one) {
+TEST(group_controller, dissolves_no_larger_group_to_repair_a_smaller_one) {
   group_controller_options options;
-  // By this share few groups are wanted, so that most of them count as spares.
+  // With this share few groups are wanted, so that most count as spares.
   options.spare_share = 0.6;
   fleet_run run = standing_fleet(3, options);
   const int large = run.fleet.serving("large");
@@ -127,7 +127,7 @@
   run.run_for(absl::Seconds(30));
   EXPECT_TRUE(groups_in(run, "h0").empty());
   EXPECT_FALSE(groups_in(run, "h1").empty());
-  // What is wanted follows from the hosts of the other halls.
+  // The wanted groups follow from the hosts of the other halls.
   EXPECT_GE(run.fleet.serving("large"), 4);
   EXPECT_GE(run.fleet.serving("small"), 4);
   run.controller.set_closed_halls({});
@@ -136,7 +136,7 @@
   EXPECT_TRUE(run.fleet.breaches().empty());
 }
 
-TEST(group_controller, leaves_the_groups_of_a_closed_hall_as_they_are) {
+TEST(group_controller, keeps_the_groups_of_a_closed_hall) {
   fleet_run run = standing_fleet(1);
   const auto before = groups_in(run, "h0");
   const auto others = groups_in(run, "h1");
@@ -149,7 +149,8 @@
   EXPECT_EQ(groups_in(run, "h0"), before);
 }
 
-TEST(group_controller, ends_a_broken_group_of_a_closed_hall_and_forms_none) {
+TEST(group_controller,
+     dissolves_a_broken_group_of_a_closed_hall_and_forms_none) {
   fleet_run run = standing_fleet(1, idle_spares());
   const auto before = groups_in(run, "h0");
   std::string lost;
@@ -166,7 +167,7 @@
   auto left = before;
   left.erase(group);
   auto standing = groups_in(run, "h0");
-  // Who does not answer cannot be told to leave.
+  // A server that does not answer cannot be ordered to leave.
   standing.erase(group);
   EXPECT_EQ(standing, left);
   for (const auto& [id, server] : run.fleet.directory().servers()) {
@@ -175,7 +176,7 @@
   }
 }
 
-TEST(group_controller, gives_up_a_group_whose_hall_closes_while_it_forms) {
+TEST(group_controller, abandons_a_group_whose_hall_closes_while_it_forms) {
   fleet_run run = hall_of_domains(1);
   while (groups_in(run, "h0").empty()) run.step();
   run.controller.set_closed_halls({"h0"});
@@ -209,9 +210,9 @@
   EXPECT_TRUE(run.fleet.breaches().empty());
 }
 
-/// Its count of orders starts anew and it belongs to no group, whether its
-/// entry or its report is the first to say so.
-TEST(group_controller, a_member_that_starts_again_under_its_id_is_replaced) {
+/// After a restart, a server's count of orders starts anew and it is in no
+/// group. The controller may learn this first from its entry or its report.
+TEST(group_controller, replaces_a_member_that_restarts_under_the_same_id) {
   for (const bool noticed : {false, true}) {
     fleet_run run = standing_fleet(2, idle_spares());
     const std::string id = member_of(run, "large", 2);
@@ -225,7 +226,7 @@
       const group_membership& said = server.entry.membership;
       EXPECT_FALSE(said.group == group && said.phase == member_phase::open);
     }
-    // It takes orders again, by its new count.
+    // It accepts orders again, by its new count.
     const std::string other = member_of(run, "large", 1);
     run.fleet.kill(other, run.now);
     run.report_suspect(other);
@@ -234,8 +235,8 @@
   }
 }
 
-/// An answer that was under way when the server started again.
-TEST(group_controller, a_report_of_an_earlier_start_is_not_believed) {
+/// A report that was sent before the server restarted arrives after it.
+TEST(group_controller, ignores_a_report_of_an_earlier_incarnation) {
   constexpr int64_t earlier_orders = 77;
   fleet_run run = standing_fleet(3, idle_spares());
   const std::string id = member_of(run, "large", 2);
@@ -256,9 +257,9 @@
   EXPECT_TRUE(run.fleet.breaches().empty());
 }
 
-/// The load of the first holder of a large fleet, in which all hosts are to
-/// join groups at once.
-TEST(group_controller, orders_a_large_fleet_in_a_window) {
+/// The first holder of a large fleet, in which all hosts have to join groups at
+/// once.
+TEST(group_controller, limits_pending_orders_in_a_large_fleet) {
   constexpr int domains = 25;
   constexpr int hosts = 37;
   fleet_run run = hall_of_domains(11, {}, domains, hosts);
@@ -270,8 +271,8 @@
   EXPECT_TRUE(run.fleet.breaches().empty());
 }
 
-/// The load of a hall that loses hosts: each loss is made good by a spare.
-TEST(group_controller, repairs_within_a_second_with_a_spare_that_is_warm) {
+/// A hall that loses hosts: each loss is repaired by a spare.
+TEST(group_controller, repairs_within_a_second_with_a_warm_spare) {
   fleet_run run = standing_fleet(2, idle_spares());
   run.run_for(absl::Seconds(6));
   const std::string lost = member_of(run, "large", 2);
@@ -282,7 +283,7 @@
   EXPECT_TRUE(run.fleet.breaches().empty());
 }
 
-TEST(group_controller, hosts_that_warm_up_join_no_group_that_serves) {
+TEST(group_controller, hosts_leave_their_group_after_the_warm_up) {
   fleet_run run = standing_fleet(3, idle_spares());
   run.run_for(absl::Seconds(10));
   // Each host has left the group that it joined to warm up.
@@ -294,10 +295,11 @@
   EXPECT_TRUE(run.fleet.breaches().empty());
 }
 
-TEST(group_controller, frees_the_members_of_a_head_that_is_cut_off) {
+TEST(group_controller, frees_the_members_of_an_unreachable_head) {
   fleet_run run = standing_fleet(3, idle_spares());
   const std::string head = member_of(run, "large", 0);
-  // The head is cut off, not dead: it may serve callers on the other side.
+  // The head is unreachable but alive: it may serve callers on the other side
+  // of the partition.
   run.fleet.set_dark(head, true);
   run.report_suspect(head);
   run.run_for(absl::Seconds(3));
@@ -305,12 +307,12 @@
   EXPECT_EQ(run.fleet.serving("large"), 6);
 }
 
-TEST(group_controller, a_new_holder_does_not_join_hosts_whose_head_may_serve) {
+TEST(group_controller, a_new_holder_does_not_reuse_hosts_whose_head_may_serve) {
   fleet_run run = standing_fleet(4);
   const std::string head = member_of(run, "large", 0);
   run.fleet.set_dark(head, true);
   run.report_suspect(head);
-  // The holder takes the others out of the group, and is gone.
+  // The holder orders the other members to leave, and then fails.
   run.run_for(absl::Milliseconds(300));
   const absl::Time dead = run.now;
   while (run.now - dead < absl::Milliseconds(1700)) {
@@ -322,7 +324,7 @@
   EXPECT_TRUE(run.fleet.breaches().empty());
 }
 
-TEST(group_controller, moves_a_group_off_a_host_that_is_leaving) {
+TEST(group_controller, replaces_a_group_with_a_leaving_host) {
   fleet_run run = standing_fleet(5, idle_spares());
   const std::string leaving = member_of(run, "small", 1);
   run.fleet.drain(leaving, run.now);
@@ -333,9 +335,9 @@
   EXPECT_TRUE(run.fleet.breaches().empty());
 }
 
-/// The load of a release: members of several groups announce their stop at
-/// once, and serve on for a while.
-TEST(group_controller, groups_serve_on_while_a_member_is_about_to_leave) {
+/// A release: members of several groups announce their stop at once, and keep
+/// serving for a while.
+TEST(group_controller, groups_keep_serving_while_a_member_is_about_to_leave) {
   group_controller_options options = idle_spares();
   options.leaving_member_grace = absl::Milliseconds(2000);
   fleet_run run = standing_fleet(5, options);
@@ -354,13 +356,13 @@
     run.step();
     ASSERT_EQ(run.fleet.serving("small"), before);
   }
-  // Four hosts fewer leave room for one group less.
+  // Four hosts fewer make one group fewer.
   run.run_for(absl::Seconds(20));
   EXPECT_EQ(run.fleet.serving("small"), before - 1);
   EXPECT_TRUE(run.fleet.breaches().empty());
 }
 
-/// Groups that the servers of a domain, or all others, name.
+/// Groups that the servers of a domain, or all others, are in.
 std::set<std::string> group_names(const fleet_run& run,
                                   const std::string& domain, bool in_domain) {
   std::set<std::string> out;
@@ -373,9 +375,9 @@
   return out;
 }
 
-TEST(group_controller, a_term_that_is_resumed_gives_no_groups_name_again) {
+TEST(group_controller, a_resumed_term_reuses_no_group_name) {
   fleet_run run = standing_fleet(1);
-  // The lease could not be renewed for a while, and nobody else took it.
+  // The lease lapsed for a while, and nobody else took it.
   run.controller.stop_term();
   run.controller.start_term(run.fence);
   run.requests_seen = false;
@@ -417,7 +419,7 @@
   return run;
 }
 
-TEST(group_controller, holders_that_follow_each_other_keep_the_rate_of_loads) {
+TEST(group_controller, successive_holders_keep_the_load_rate_limit) {
   fleet_run run = fleet_without_weights(8);
   const engine_profile engine = *engine_service().engine;
   const group_controller_options options;
@@ -432,7 +434,7 @@
   EXPECT_LE(run.max_loads_in_window(options.load_window, since), allowed);
 }
 
-TEST(group_controller, a_holder_that_heard_nothing_waits_the_window_out) {
+TEST(group_controller, a_holder_without_reports_waits_for_a_load_window) {
   fleet_run run = fleet_without_weights(9);
   const size_t loads = run.fleet.loads.size();
   run.begin_term();
@@ -442,7 +444,7 @@
   EXPECT_GT(run.fleet.loads.size(), loads);
 }
 
-TEST(group_controller, gives_up_its_duty_when_most_servers_are_silent) {
+TEST(group_controller, steps_down_when_most_servers_are_silent) {
   fleet_run run = standing_fleet(7);
   int count = 0;
   for (const auto& id : run.fleet.living()) {
@@ -464,7 +466,7 @@
   FAIL() << "did not step down";
 }
 
-TEST(group_controller, keeps_its_duty_when_one_of_three_halls_is_cut_off) {
+TEST(group_controller, does_not_step_down_when_one_of_three_halls_is_cut_off) {
   fleet_run run = standing_fleet(7);
   for (const auto& [id, server] : run.fleet.directory().servers()) {
     if (server.entry.hall != "h0") continue;
@@ -483,7 +485,7 @@
   EXPECT_EQ(run.controller.silent_servers().size(), 16U);
 }
 
-TEST(group_controller, a_new_holder_lets_a_host_go_on_loading) {
+TEST(group_controller, a_new_holder_does_not_interrupt_a_load) {
   fleet_run run = standing_fleet(9);
   const std::string added = run.fleet.add("d0", run.now);
   run.run_for(absl::Seconds(2));
@@ -494,7 +496,7 @@
   EXPECT_EQ(run.fleet.directory().find(added)->staged.size(), 1U);
 }
 
-TEST(group_controller, keeps_loads_under_the_ceiling) {
+TEST(group_controller, keeps_loads_within_the_rate_limit) {
   fleet_run run = standing_fleet(8);
   const absl::Time since = run.now;
   for (int i = 0; i < 30; ++i) run.fleet.add(absl::StrCat("d", i % 6), run.now);
@@ -503,7 +505,7 @@
   EXPECT_GT(run.max_loads_in_window(absl::Seconds(5), since), 5);
 }
 
-TEST(group_controller, forms_the_groups_of_each_of_two_services) {
+TEST(group_controller, forms_groups_of_two_services) {
   const absl::Time began = absl::FromUnixSeconds(1000);
   routing_config config;
   config.services = {engine_service(), engine_service()};
@@ -535,8 +537,8 @@
   EXPECT_EQ(ordered, (std::set<std::string>{"lm", "other"}));
 }
 
-/// Hosts of one domain in a group of each model and two free hosts that hold
-/// the smaller model's weights, by their own words.
+/// Hosts of one domain in a group of each model, and two free hosts that hold
+/// the smaller model's weights, as the servers report it.
 server_directory domain_with_spares() {
   server_directory out;
   const auto add = [&out](const std::string& id, const std::string& model,
@@ -560,7 +562,7 @@
   return out;
 }
 
-TEST(group_controller, changes_a_spares_weights_when_the_other_model_has_none) {
+TEST(group_controller, restages_a_spare_when_the_other_model_has_none) {
   const server_directory directory = domain_with_spares();
   routing_config config;
   config.services = {engine_service()};
@@ -585,7 +587,7 @@
   EXPECT_EQ(stages[0].model, "large");
 }
 
-TEST(group_controller, stages_for_a_group_that_is_about_to_form) {
+TEST(group_controller, stages_hosts_for_a_group_that_lacks_members) {
   fleet_run run = standing_fleet(10, idle_spares());
   // A second loss in one domain leaves the larger model without a spare there.
   const std::string domain = "d2";
@@ -608,7 +610,7 @@
             std::vector<std::string>{"large"});
 }
 
-/// One random fault.
+/// Injects one random fault.
 void strike(fleet_run& run) {
   const std::string id = run.random_server();
   switch (run.random.below(7)) {
@@ -632,7 +634,7 @@
       run.fleet.add(absl::StrCat("d", run.random.below(6)), run.now);
       break;
     case 5: {
-      // The holder dies; another takes over once the lease has run out.
+      // The holder fails; another one takes over once the lease has run out.
       const absl::Time since = run.now;
       while (run.now - since < absl::Milliseconds(1700)) {
         run.now += step_time;
@@ -648,7 +650,7 @@
   }
 }
 
-RC_GTEST_PROP(group_controller, breaks_no_rule_whatever_strikes, ()) {
+RC_GTEST_PROP(group_controller, breaks_no_rule_under_random_faults, ()) {
   const auto seed = *rc::gen::arbitrary<uint64_t>();
   fleet_run run = standing_fleet(
       seed, seed % 2 == 0 ? idle_spares() : group_controller_options());
--- a/test/group-yield-test.cc
+++ b/test/group-yield-test.cc
@@ -1,4 +1,4 @@
-// Which model's groups get the hosts of a fleet that loses some all the time.
+// Which model's groups get the hosts of a fleet that keeps losing some.
 #include <absl/strings/str_cat.h>
 #include <gtest/gtest.h>
 
@@ -15,8 +15,9 @@
 
 using test::fleet_run;
 
-/// Three data halls of two fabric domains each. Groups of the larger model take
-/// nearly half of a domain, so that one fits into each and two never do.
+/// Three data halls of two fabric domains each. A group of the larger model
+/// takes nearly half of a domain, so that each domain has room for one and
+/// never for two.
 constexpr int domains = 6;
 constexpr int hosts_of_domain = 27;
 constexpr int halls = 3;
@@ -37,13 +38,13 @@
   return {"lm", 100, 0, engine};
 }
 
-/// Groups of each model that served, on average over a time.
+/// Number of serving groups of each model, averaged over a time.
 struct mean_serving {
   double large = 0;
   double small = 0;
 };
 
-/// A fleet from its start, and what befalls it once there are requests.
+/// A fleet from its start, and the faults injected once there are requests.
 class churned_fleet {
  public:
   churned_fleet(uint64_t seed, const group_controller_options& options)
@@ -60,7 +61,7 @@
     return absl::ToDoubleSeconds(this->run.now - this->began);
   }
 
-  /// Two members of one group are lost in a hall, and noticed by callers.
+  /// Has two members of one group in a hall fail, which callers notice.
   void lose_pair(int hall) {
     std::map<std::string, std::vector<std::string>> groups;
     for (const auto& [id, server] : this->run.fleet.directory().servers()) {
@@ -95,7 +96,7 @@
   }
 
   /// Announces that some hosts leave, which they do four seconds later; others
-  /// come in their place.
+  /// are added in their place.
   void replace_some(int count) {
     for (int i = 0; i < count; ++i) {
       const std::string id = this->run.random_server();
@@ -106,7 +107,7 @@
     }
   }
 
-  /// Lets time pass and counts the groups that serve.
+  /// Advances the time and averages the number of serving groups.
   void run_until(double second) {
     while (this->seconds() < second) {
       this->run.step();
@@ -130,7 +131,7 @@
   int least_large = domains;
 
  private:
-  /// What is due: callers notice losses, leaving hosts end.
+  /// Executes what is due: callers notice losses, leaving hosts stop.
   void carry_on() {
     while (!this->noticed.empty() &&
            this->noticed.begin()->first <= this->run.now) {
@@ -151,8 +152,8 @@
   std::multimap<absl::Time, server_entry> leaving;
 };
 
-/// Pairs of joined hosts are lost every three seconds, hall by hall; from
-/// second 12 as many come, with nothing on them.
+/// Two hosts of one group fail every three seconds, in one hall after the
+/// other; from second 12 on as many are added, without weights.
 void churn(churned_fleet& fleet, bool release) {
   constexpr double period = 3;
   constexpr int strikes = 11;
@@ -173,7 +174,7 @@
   fleet.run_until(period * strikes + 4);
 }
 
-/// How a fleet fared under one rule, on average over some seeds.
+/// Results under one rule, averaged over some seeds.
 struct share_figures {
   mean_serving mean;
   int least_large = domains;
@@ -196,9 +197,10 @@
   return out;
 }
 
-/// A model with hosts enough keeps some groups, whatever is lost: from two of
-/// six on, hosts of the smaller model's groups form some of the larger.
-TEST(group_share, pairs_of_losses_leave_the_larger_model_most_of_its_groups) {
+/// A model with enough hosts keeps some groups whatever fails: when it has two
+/// of six or fewer, hosts of the smaller model's groups form more of the
+/// larger.
+TEST(group_share, the_larger_model_keeps_groups_when_pairs_of_hosts_fail) {
   const share_figures without = play(false, false);
   const share_figures with = play(true, false);
   EXPECT_GT(with.mean.large, without.mean.large + 0.2);
@@ -207,8 +209,8 @@
   EXPECT_EQ(with.breaches, 0U);
 }
 
-/// A third of the hosts is replaced within seven seconds on top of it.
-TEST(group_share, a_release_takes_the_larger_model_out_for_a_moment_only) {
+/// In addition, a third of the hosts is replaced within seven seconds.
+TEST(group_share, the_larger_model_keeps_groups_during_a_release) {
   const share_figures without = play(false, true);
   const share_figures with = play(true, true);
   EXPECT_GT(with.mean.large, without.mean.large + 0.2);
@@ -216,19 +218,19 @@
   EXPECT_EQ(with.breaches, 0U);
 }
 
-TEST(may_yield, groups_beyond_the_share_are_always_given) {
+TEST(may_yield, surplus_groups_are_always_given_up) {
   const model_group_counts small{12, 11};
   const model_group_counts large{5, 6};
   EXPECT_TRUE(may_yield(small, large, 1));
   EXPECT_FALSE(may_yield(small, large, 2));
 }
 
-TEST(may_yield, a_model_with_hardly_any_group_gets_some_of_the_share) {
+TEST(may_yield, wanted_groups_are_given_up_for_a_model_with_few_groups) {
   const model_group_counts small{11, 11};
   EXPECT_TRUE(may_yield(small, {0, 6}, 2));
   EXPECT_TRUE(may_yield(small, {2, 6}, 2));
   EXPECT_FALSE(may_yield(small, {3, 6}, 1));
-  // The model that gives keeps most of its own groups.
+  // The model that gives groups up keeps most of its own.
   EXPECT_FALSE(may_yield({8, 11}, {0, 6}, 1));
   EXPECT_FALSE(may_yield({1, 1}, {0, 1}, 1));
 }
--- a/test/model-shares-test.cc
+++ b/test/model-shares-test.cc
@@ -1,4 +1,4 @@
-// The need of models, the best division, and when a change is worth it.
+// The need of models, the best allocation, and when a change is worthwhile.
 #include "spokesail/model-shares.h"
 
 #include <gtest/gtest.h>
@@ -21,16 +21,16 @@
   return engine;
 }
 
-TEST(needed_groups, is_the_engine_time_of_reading_and_of_a_full_batch) {
+TEST(needed_groups, counts_the_engine_time_of_prefill_and_of_a_full_batch) {
   const engine_profile engine = two_sizes(8, 4);
-  // Ten requests a second read 20 ms and write 100 tokens of 1 ms.
+  // Ten requests a second read for 20 ms each and write 100 tokens of 1 ms.
   const model_demand demand{"lm", "large", 10, 10000, 1000, 0};
   EXPECT_NEAR(needed_groups(engine, engine.models[0], demand), 1.2, 1e-9);
   EXPECT_NEAR(needed_groups(engine, engine.models[1], demand), 0.6, 1e-9);
   EXPECT_EQ(needed_groups(engine, engine.models[0], {}), 0);
 }
 
-TEST(needed_groups, counts_refused_requests_that_come_back_less) {
+TEST(needed_groups, discounts_refused_requests) {
   const engine_profile engine = two_sizes(8, 4);
   const model_demand asked{"lm", "large", 10, 10000, 1000, 0};
   model_demand refused = asked;
@@ -40,7 +40,7 @@
               0.6 * needed_groups(engine, model, asked), 1e-9);
 }
 
-RC_GTEST_PROP(predicted_slowdown, falls_with_each_group, (uint16_t load)) {
+RC_GTEST_PROP(predicted_slowdown, decreases_with_each_group, (uint16_t load)) {
   const double need = 0.01 + load / 1000.0;
   for (int groups = 0; groups < 80; ++groups) {
     RC_ASSERT(predicted_slowdown(need, groups) >
@@ -48,32 +48,32 @@
   }
 }
 
-/// Domains of 19 or 18 hosts, three of them kept for repairs.
-TEST(groups_fit, counts_hosts_that_no_group_can_use) {
+/// Domains of 19 or 18 hosts, three of them kept as spares.
+TEST(groups_fit, accounts_for_hosts_that_no_group_can_use) {
   const engine_profile of_8_and_4 = two_sizes(8, 4);
   EXPECT_TRUE(groups_fit(of_8_and_4, {{"large", 1}, {"small", 2}}, {{16}, 1}));
   EXPECT_FALSE(groups_fit(of_8_and_4, {{"large", 1}, {"small", 2}}, {{15}, 1}));
   EXPECT_TRUE(
       groups_fit(of_8_and_4, {{"large", 2}, {"small", 2}}, {{15, 15}, 1}));
-  // 24 hosts in all, and a large group fits into neither half.
+  // 24 hosts in all, but a large group fits into no domain.
   EXPECT_FALSE(groups_fit(of_8_and_4, {{"large", 1}}, {{7, 7, 7, 3}, 1}));
   const engine_profile of_8_and_2 = two_sizes(8, 2);
   EXPECT_TRUE(groups_fit(of_8_and_2, {{"large", 1}, {"small", 3}}, {{15}, 1}));
 }
 
-TEST(allocate_hosts, makes_the_use_of_unequal_models_level) {
+TEST(allocate_hosts, balances_the_utilization_of_models) {
   const engine_profile engine = two_sizes(8, 4);
   const host_capacity room{std::vector<int>(9, 16), 3};
   const count_by_model level = {{"large", 9}, {"small", 18}};
   EXPECT_EQ(allocate_hosts(engine, room, {{"large", 5}, {"small", 10}}), level);
-  // The proportion of hosts is 35 to 56.
+  // The hosts needed are in proportion 35 to 56.
   const count_by_model uneven = {{"large", 7}, {"small", 22}};
   EXPECT_EQ(allocate_hosts(engine, room, {{"large", 4.4}, {"small", 14}}),
             uneven);
 }
 
-/// Any demand and any domains: what is divided fits, and floors are kept.
-RC_GTEST_PROP(allocate_hosts, fits_and_keeps_floors,
+/// For any demand and any domains, the allocation fits and keeps the minimums.
+RC_GTEST_PROP(allocate_hosts, fits_and_keeps_minimums,
               (uint16_t large, uint16_t small)) {
   const engine_profile engine = two_sizes(8, *rc::gen::element(2, 4));
   host_capacity room;
@@ -92,7 +92,7 @@
 const host_capacity nine_domains{std::vector<int>(9, 16), 3};
 const count_by_model stated = {{"large", 9}, {"small", 18}};
 
-/// Feeds one second after another; returns that of the first change.
+/// Adds one second after another; returns that of the first change, or -1.
 int first_change(model_shares& shares, int seconds,
                  const std::function<need_by_model(int)>& need_at) {
   const engine_profile engine = two_sizes(8, 4);
@@ -106,7 +106,7 @@
   return -1;
 }
 
-TEST(model_shares, a_change_waits_for_the_time_of_its_loads) {
+TEST(model_shares, a_change_requires_evidence_for_the_time_of_its_loads) {
   model_shares to_small;
   const auto for_small = [](int) {
     return need_by_model{{"large", 3}, {"small", 16}};
@@ -120,7 +120,7 @@
   EXPECT_EQ(first_change(to_large, 60, for_large), 20);
 }
 
-TEST(model_shares, one_second_without_gain_takes_the_evidence_away) {
+TEST(model_shares, one_second_without_gain_prevents_a_change) {
   model_shares shares;
   const auto need = [](int second) {
     const bool calm = second % 12 == 0;
@@ -130,7 +130,7 @@
   EXPECT_EQ(first_change(shares, 120, need), -1);
 }
 
-TEST(model_shares, nothing_is_to_gain_where_groups_are_nearly_idle) {
+TEST(model_shares, nothing_changes_while_groups_are_nearly_idle) {
   model_shares shares;
   const auto need = [](int) {
     return need_by_model{{"large", 0.1}, {"small", 0.9}};
@@ -139,8 +139,8 @@
   EXPECT_EQ(shares.share(two_sizes(8, 4).models[0]), 0.5);
 }
 
-/// Operators state other shares, or take a model out.
-TEST(model_shares, a_new_statement_puts_an_end_to_the_shares_in_force) {
+/// Operators configure other shares, or remove a model.
+TEST(model_shares, new_configured_shares_replace_those_in_force) {
   for (const bool fewer : {false, true}) {
     engine_profile engine = two_sizes(8, 4);
     model_shares shares;
--- a/test/placement-bench.cc
+++ b/test/placement-bench.cc
@@ -1,5 +1,5 @@
-// Measures group downtime and stranded accelerators under seeded failures,
-// through the reducer in virtual time, for each way to choose a domain.
+// Measures group downtime and unusable ("stranded") accelerators under seeded
+// failures, through the reducer in virtual time, for each domain policy.
 #include <cstdio>
 #include <cstdlib>
 #include <cstring>
@@ -10,7 +10,7 @@
 namespace spokesail::test {
 namespace {
 
-/// A hall, what it is to serve, and how often its hosts fail.
+/// A hall, the replicas it has to serve, and how often its hosts fail.
 struct scenario {
   const char* name;
   int domains;
--- a/test/planner-test.cc
+++ b/test/planner-test.cc
@@ -10,7 +10,8 @@
 
 const absl::Time start = absl::UnixEpoch() + absl::Hours(1);
 
-/// A hall whose hosts obey at once, so that plans can follow plans.
+/// A hall whose hosts reach the planned state at once, so that plans can follow
+/// each other.
 class simulated_hall {
  public:
   simulated_hall(int domains, int per_domain) {
@@ -37,7 +38,7 @@
     return result;
   }
 
-  /// Hosts report what the placement says.
+  /// Sets the hosts' reports to the state that the placement asks for.
   void apply_placement() {
     for (auto& [name, host] : this->in.hosts) {
       if (host.report) host.report = host_report{};
@@ -97,7 +98,7 @@
   simulated_hall hall(2, 3);
   const auto config = config_of(2, 3);
   hall.step(config);
-  // Three hosts a domain hold one replica of two each; none crosses.
+  // Three hosts a domain hold one replica of two each; none crosses domains.
   EXPECT_EQ(hall.in.current.groups.size(), 2U);
 }
 
@@ -129,7 +130,7 @@
   for (const auto& g : hall.in.current.groups) EXPECT_EQ(g.version, "2");
 }
 
-TEST(planner, a_drained_group_is_released_once_all_nodes_know_and_it_is_idle) {
+TEST(planner, releases_a_drained_group_once_the_drain_settled_and_it_is_idle) {
   simulated_hall hall(1, 2);
   for (int i = 0; i < 4; i++) {
     hall.step(config_of(2, 1));
@@ -153,7 +154,7 @@
   EXPECT_TRUE(hall.in.current.groups.empty());
 }
 
-TEST(planner, surges_where_spare_hosts_exist) {
+TEST(planner, surges_if_spare_hosts_exist) {
   simulated_hall hall(1, 6);
   const auto before = config_of(2, 2, 2);
   for (int i = 0; i < 4; i++) {
@@ -183,7 +184,7 @@
   EXPECT_EQ(hall.in.current.groups.size(), 1U);
 }
 
-TEST(planner, gives_the_hosts_to_what_matters_more) {
+TEST(planner, gives_hosts_to_the_more_important_model) {
   simulated_hall hall(1, 2);
   auto config = config_of(2, 1);
   model_config other = config.models[0];
@@ -195,7 +196,7 @@
   EXPECT_EQ(hall.in.current.groups[0].model, "important");
 }
 
-TEST(planner, an_unfenced_host_is_given_away_only_after_its_time) {
+TEST(planner, an_unfenced_host_is_not_reassigned_before_its_time) {
   simulated_hall hall(1, 2);
   hall.in.hosts["d0h1"].reassign_after = start + absl::Seconds(5);
   const auto config = config_of(2, 1);
@@ -206,8 +207,8 @@
   EXPECT_EQ(hall.in.current.groups.size(), 1U);
 }
 
-TEST(domain_policy, whole_replica_leaves_what_others_can_fill) {
-  // Best fit would leave 1 of 3, where a replica of 3 could have gone.
+TEST(domain_policy, whole_replica_leaves_hosts_that_other_replicas_can_use) {
+  // Best fit would leave 1 of 3, where a replica of 3 would have fit.
   const std::vector<domain_supply> supplies = {
       {"a", {"1", "2", "3"}, 0, 3, 0}, {"b", {"4", "5", "6", "7"}, 0, 4, 0}};
   EXPECT_EQ(make_best_fit()->choose(supplies, 2, {2, 3}), 0U);
@@ -221,7 +222,7 @@
   EXPECT_EQ(make_whole_replica_fit()->choose(supplies, 2, {2, 4}), 1U);
 }
 
-RC_GTEST_PROP(planner_property, never_shares_a_host_and_settles, ()) {
+RC_GTEST_PROP(planner_property, never_shares_a_host_and_becomes_stable, ()) {
   const int domains = *rc::gen::inRange(1, 4);
   const int per_domain = *rc::gen::inRange(1, 7);
   simulated_hall hall(domains, per_domain);
@@ -249,7 +250,7 @@
     }
     hall.apply_placement();
   }
-  // Left alone, planning comes to rest.
+  // Without further changes, planning becomes stable.
   for (int i = 0; i < 300; i++) {
     hall.step(config);
     hall.apply_placement();
--- a/test/uneven-demand-test.cc
+++ b/test/uneven-demand-test.cc
@@ -1,4 +1,4 @@
-// Hosts follow what callers ask for, against the emulator, in virtual time.
+// Hosts follow the demand, against the fleet emulator, in virtual time.
 #include <absl/strings/str_cat.h>
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -42,7 +42,7 @@
 const request_size large_request{1420, 116};
 const request_size small_request{674, 116};
 
-/// Requests a second that keep so many hosts of a model busy.
+/// Requests a second that keep this number of hosts of a model busy.
 double rate_for(const backend_service& service, const std::string& name,
                 const request_size& size, double hosts) {
   const model_profile& model = *find_model(*service.engine, name);
@@ -56,7 +56,7 @@
   return options;
 }
 
-/// A fleet whose callers ask for as much as is told.
+/// A fleet with a given demand.
 class asked_fleet {
  public:
   explicit asked_fleet(uint64_t seed,
@@ -71,7 +71,7 @@
     this->epochs_before = this->group_names();
   }
 
-  /// Hosts that the requests for each model keep busy.
+  /// Sets the demand for each model, in hosts that it keeps busy.
   void ask(double large, double small) {
     this->large = rate_for(this->service, "large", large_request, large);
     this->small = rate_for(this->service, "small", small_request, small);
@@ -91,7 +91,7 @@
     return this->run.fleet.serving(model);
   }
 
-  /// Groups that have come or gone since the requests began.
+  /// Groups that were formed or dissolved since the requests began.
   size_t changed_groups() const {
     std::vector<std::string> out;
     const auto now = this->group_names();
@@ -117,11 +117,11 @@
   std::function<double(const std::string&)> noise = [](const auto&) {
     return 1.0;
   };
-  /// Part of all requests that callers of a hall send.
+  /// Fraction of all requests that callers of a hall send.
   std::array<double, halls> parts = {0.2, 0.2, 0.2, 0.2, 0.2};
-  /// Halls whose words are lost.
+  /// Halls whose reports are lost.
   std::set<int> unheard;
-  /// Age of the oldest word of all at least.
+  /// Lower bound of the age of the oldest report.
   absl::Duration oldest_word = absl::ZeroDuration();
   backend_service service;
   fleet_run run;
@@ -129,7 +129,7 @@
   std::map<std::string, int> least = {{"large", 1000}, {"small", 1000}};
 
  private:
-  /// Requests of one step, spread over the halls.
+  /// Adds the requests of one step, spread over the halls.
   void arrive() {
     const auto second = absl::ToUnixSeconds(this->run.now);
     if (second != this->drawn_in) {
@@ -152,7 +152,7 @@
       }
     }
   }
-  /// The halls' words reach the holder once a second.
+  /// Passes the halls' reports to the holder once a second.
   void say() {
     if (this->run.now - this->said_at < absl::Seconds(1)) return;
     this->said_at = this->run.now;
@@ -186,12 +186,12 @@
   std::set<std::string> epochs_before;
 };
 
-/// Loads that a shift may take: those of the model that gains, its evidence
-/// before, and two rounds of groups that give way.
+/// Upper bound of the time of a shift: the observation before it, the loads of
+/// the model that gains, and two rounds of groups that are dissolved.
 constexpr absl::Duration shift_time = absl::Seconds(60);
 
-/// Demand level with the shares, each second a fifth more or less.
-RC_GTEST_PROP(uneven_demand, calm_demand_moves_nothing, ()) {
+/// Demand in proportion to the shares, each second up to a fifth more or less.
+RC_GTEST_PROP(uneven_demand, steady_demand_moves_no_hosts, ()) {
   const auto seed = *rc::gen::arbitrary<uint64_t>();
   asked_fleet fleet(seed);
   random_stream random{std::mt19937_64(seed)};
@@ -202,8 +202,9 @@
   RC_ASSERT(fleet.loads() == 0U);
 }
 
-/// Shows that the rules of a change are what holds calm demand still.
-TEST(uneven_demand, without_hysteresis_calm_demand_would_move_groups) {
+/// Shows that the thresholds of a change are what keeps hosts in place under
+/// steady demand.
+TEST(uneven_demand, without_thresholds_steady_demand_moves_hosts) {
   group_controller_options options = following();
   options.reallocation.wait_for_loads = false;
   options.reallocation.min_gain = 0;
@@ -215,7 +216,8 @@
   EXPECT_GT(fleet.loads() + fleet.changed_groups(), 0U);
 }
 
-/// Callers ask three times as much of one model as of the other, from then on.
+/// From then on, callers request three times as much of one model as of the
+/// other.
 TEST(uneven_demand, a_lasting_shift_to_the_larger_model_moves_hosts) {
   asked_fleet fleet(2);
   EXPECT_EQ(fleet.serving("large"), 9);
@@ -224,7 +226,7 @@
   fleet.run_for(shift_time);
   EXPECT_GE(fleet.serving("large"), 12);
   EXPECT_GE(fleet.serving("small"), 8);
-  // What stands then stays.
+  // The new allocation stays.
   const auto names = fleet.group_names();
   const size_t loads = fleet.loads();
   fleet.run_for(absl::Seconds(60));
@@ -252,8 +254,8 @@
   EXPECT_TRUE(fleet.run.fleet.breaches().empty());
 }
 
-/// The loads of a shift stay under the weight store's ceiling.
-TEST(uneven_demand, a_shift_keeps_the_rate_of_loads) {
+/// The loads of a shift stay within the rate limit of the weight store.
+TEST(uneven_demand, a_shift_keeps_the_load_rate_limit) {
   asked_fleet fleet(3);
   const absl::Time since = fleet.run.now;
   fleet.ask(26, 78);
@@ -262,8 +264,8 @@
   EXPECT_GT(fleet.loads(), 0U);
 }
 
-/// A burst of one model, two and a half times for 10 s.
-TEST(uneven_demand, a_burst_shorter_than_a_load_moves_nothing) {
+/// A burst of two and a half times the requests for one model, for 10 s.
+TEST(uneven_demand, a_burst_shorter_than_a_load_moves_no_hosts) {
   for (const bool larger : {false, true}) {
     asked_fleet fleet(4);
     fleet.ask(40, 40);
@@ -277,9 +279,9 @@
   }
 }
 
-/// Six in ten callers of one hall move to another: the models' demand is the
-/// same.
-TEST(uneven_demand, callers_that_change_halls_move_nothing) {
+/// Six in ten callers of one hall move to another; the models' demand is
+/// unchanged.
+TEST(uneven_demand, callers_that_change_halls_move_no_hosts) {
   asked_fleet fleet(5);
   fleet.ask(45, 45);
   fleet.run_for(absl::Seconds(20));
@@ -289,8 +291,8 @@
   EXPECT_EQ(fleet.loads(), 0U);
 }
 
-/// Nobody asks for one model; it keeps its two groups for whoever comes.
-TEST(uneven_demand, a_model_that_nobody_asks_for_keeps_its_floor) {
+/// One model has no requests; it keeps two groups for requests to come.
+TEST(uneven_demand, a_model_without_requests_keeps_two_groups) {
   asked_fleet fleet(6);
   fleet.ask(0, 100);
   fleet.run_for(absl::Seconds(120));
@@ -299,8 +301,8 @@
   EXPECT_GE(fleet.serving("small"), 30);
 }
 
-/// A domain goes dark while hosts move.
-TEST(uneven_demand, a_domain_that_goes_dark_leaves_each_model_its_floor) {
+/// A domain becomes unreachable while hosts move.
+TEST(uneven_demand, each_model_keeps_two_groups_when_a_domain_fails) {
   asked_fleet fleet(7);
   fleet.ask(26, 78);
   fleet.run_for(absl::Seconds(20));
@@ -315,8 +317,8 @@
   EXPECT_TRUE(fleet.run.fleet.breaches().empty());
 }
 
-/// The holder of the lease changes after hosts have moved, and while they do.
-TEST(uneven_demand, a_new_holder_undoes_nothing) {
+/// The lease holder changes after hosts have moved, and while they do.
+TEST(uneven_demand, a_new_holder_keeps_the_allocation) {
   for (const int after_s : {22, 60}) {
     asked_fleet fleet(8);
     fleet.ask(26, 78);
@@ -334,9 +336,9 @@
   }
 }
 
-/// Where demand is not known as a whole, nothing is decided; a hall that is
-/// silent for long has no callers.
-TEST(uneven_demand, nothing_moves_while_a_halls_words_are_missing) {
+/// While demand is not known in full, nothing is decided. A hall without
+/// reports for long counts as one without demand.
+TEST(uneven_demand, no_hosts_move_while_a_halls_reports_are_missing) {
   asked_fleet fleet(9);
   fleet.ask(45, 45);
   fleet.run_for(absl::Seconds(10));
@@ -348,8 +350,8 @@
   EXPECT_GE(fleet.serving("small"), 24);
 }
 
-/// Among many nodes there is always one whose last two words were lost.
-TEST(uneven_demand, lost_words_of_single_nodes_hold_nothing_up) {
+/// Among many nodes there is always one whose last two reports were lost.
+TEST(uneven_demand, lost_reports_of_single_nodes_delay_nothing) {
   asked_fleet fleet(3);
   fleet.oldest_word = demand_table::report_ttl - absl::Milliseconds(1);
   fleet.ask(26, 78);
@@ -357,8 +359,8 @@
   EXPECT_GE(fleet.serving("small"), 24);
 }
 
-/// Faults of orders, deaths and new holders while demand shifts.
-RC_GTEST_PROP(uneven_demand, breaks_no_rule_whatever_strikes, ()) {
+/// Faulty orders, failed hosts and new holders while demand shifts.
+RC_GTEST_PROP(uneven_demand, breaks_no_rule_under_random_faults, ()) {
   const auto seed = *rc::gen::arbitrary<uint64_t>();
   asked_fleet fleet(seed);
   auto& random = fleet.run.random;
@@ -378,7 +380,7 @@
   RC_ASSERT(fleet.serving("small") > 0);
 }
 
-TEST(uneven_demand, is_off_unless_asked_for) {
+TEST(uneven_demand, is_off_by_default) {
   asked_fleet fleet(2, {});
   fleet.ask(26, 78);
   fleet.run_for(absl::Seconds(60));
