--- a/include/spokesail/congestion-window.h
+++ b/include/spokesail/congestion-window.h
@@ -13,18 +13,18 @@
   /// Size at the start of a term: reading one round of answers takes a few
   /// milliseconds of processor time, which a node on an eighth of a core has
   /// within a tenth of a second.
-  double first = 32;
+  double initial_size = 32;
   /// Lower bound after repeated losses: about one server at a time in a hall of
   /// ten.
-  double least = 8;
+  double min_size = 8;
   /// Upper bound; a node that reads all answers in time needs no more.
-  double most = 256;
+  double max_size = 256;
   /// After a loss the window is not reduced again for this long, since calls
   /// that were sent before it carry no new information.
   absl::Duration min_shrink_interval = absl::Milliseconds(300);
   /// A node whose event loop is delayed by more than this reads answers late. A
   /// step of a holder of 2,000 servers takes less on an eighth of a core.
-  absl::Duration late = absl::Milliseconds(60);
+  absl::Duration max_loop_delay = absl::Milliseconds(60);
   bool operator==(const window_limits&) const = default;
 };
 
@@ -40,21 +40,21 @@
 class congestion_window {
  public:
   explicit congestion_window(const window_limits& limits = {})
-      : limits(limits), size(limits.first) {}
+      : limits(limits), size(limits.initial_size) {}
 
   /// Whether another call may be sent now.
-  bool open() const {
-    return static_cast<double>(this->asked.size()) < this->size;
+  bool has_capacity() const {
+    return static_cast<double>(this->outstanding.size()) < this->size;
   }
   /// Whether a call to `server` is outstanding.
-  bool asks(const std::string& server) const {
-    return this->asked.count(server) != 0;
+  bool is_outstanding(const std::string& server) const {
+    return this->outstanding.count(server) != 0;
   }
-  void sent(const std::string& server) { this->asked.insert(server); }
+  void on_sent(const std::string& server) { this->outstanding.insert(server); }
   /// Handles the end of a call, with the worst recent delay of the node's loop.
   /// Returns false if no call to `server` was outstanding.
-  bool ended(const std::string& server, bool answered,
-             absl::Duration loop_delay, absl::Time now);
+  bool on_ended(const std::string& server, bool answered,
+                absl::Duration loop_delay, absl::Time now);
   double limit() const { return this->size; }
 
  private:
@@ -62,7 +62,7 @@
   double size;
   bool shrunk = false;
   absl::Time shrunk_at = absl::InfinitePast();
-  std::set<std::string> asked;
+  std::set<std::string> outstanding;
 };
 
 }  // namespace spokesail
--- a/include/spokesail/demand-table.h
+++ b/include/spokesail/demand-table.h
@@ -32,11 +32,11 @@
 
   /// Stores a node's report. An empty one is ignored.
   void update_node(const std::string& node, const std::string& hall,
-                   const std::vector<model_demand>& said, absl::Time now);
+                   const std::vector<model_demand>& demand, absl::Time now);
 
   /// Stores the report of a whole hall, which replaces those of its nodes.
   void update_hall(const std::string& hall,
-                   const std::vector<model_demand>& said, absl::Time now);
+                   const std::vector<model_demand>& demand, absl::Time now);
 
   /// The sum of one hall's reports and of this node's `own` demand.
   std::vector<model_demand> hall_sum(const std::string& hall,
@@ -57,7 +57,7 @@
     absl::Time at = absl::InfinitePast();
   };
   void store(const std::string& hall, const std::string& node,
-             const std::vector<model_demand>& said, absl::Time now);
+             const std::vector<model_demand>& demand, absl::Time now);
 
   std::map<std::string, hall_reports> halls;
 };
--- a/include/spokesail/group-controller.h
+++ b/include/spokesail/group-controller.h
@@ -129,7 +129,7 @@
                      absl::Time now);
 
   /// Ids of the servers that do not answer.
-  std::vector<std::string> silent_servers() const;
+  std::vector<std::string> unresponsive_servers() const;
 
   /// The shares that differ from the configured ones, for the next holder.
   std::vector<model_share> shares() const;
@@ -152,7 +152,7 @@
     std::optional<group_membership> assumed;
     absl::Time assumed_until = absl::InfinitePast();
     /// Whether the last probe went unanswered.
-    bool silent = false;
+    bool unresponsive = false;
     /// Whether it was executing an order at the last probe.
     bool order_running = false;
     /// When to probe it next; infinite future if there is no need.
@@ -191,11 +191,11 @@
     /// Members that would have to load the weights from the weight store.
     int loads = 0;
     /// Existing groups that would be dissolved for it.
-    int ended = 0;
+    int dissolved = 0;
     /// Time that the slowest member needs to join.
     absl::Duration slowest = absl::ZeroDuration();
     /// Free hosts that remain in the domain.
-    size_t left = 0;
+    size_t free_left = 0;
   };
   /// Groups that may be dissolved in favour of a larger model.
   struct dissolvable_groups {
@@ -313,7 +313,7 @@
   bool all_models_filled(const service_state& s) const;
   /// The model to form the next group for; null if none lacks one.
   const model_profile* next_model(const service_state& s,
-                                  const std::set<std::string>& passed_over,
+                                  const std::set<std::string>& skipped,
                                   bool requests_seen) const;
   /// The hosts that form a group of `model` at the lowest cost; nullopt if no
   /// domain has enough of them.
@@ -388,7 +388,7 @@
   /// The host allocation of a service; created with the configured shares.
   service_allocation& allocation_of(const std::string& service);
   /// Restores the allocation of a previous holder.
-  void restore_allocation(const std::vector<model_share>& known);
+  void restore_allocation(const std::vector<model_share>& last_shares);
   /// Adds the current demand to the history and changes the allocation if that
   /// is worth its cost.
   void update_allocation(const service_state& s, absl::Time now,
@@ -401,7 +401,7 @@
   /// Whether these groups may be dissolved in addition to those already being
   /// dissolved for another model.
   bool may_dissolve_now(const service_state& s,
-                        const std::vector<const group_view*>& ended) const;
+                        const std::vector<const group_view*>& dissolved) const;
   /// Candidate hosts and groups of each domain for a group of `model`.
   std::map<std::string, domain_pool> domain_pools_for(
       const service_state& s, const model_profile& model) const;
@@ -410,7 +410,7 @@
   std::optional<move_plan> plan_move(const service_state& s,
                                      const model_profile& model,
                                      const domain_pool& pool,
-                                     const count_by_model& left,
+                                     const count_by_model& dissolvable,
                                      absl::Time now) const;
   /// Whether a host holds a model's weights or is loading them.
   bool has_or_is_loading(const service_state& s, const std::string& id,
@@ -418,8 +418,8 @@
   /// Has hosts of models with surplus groups load the weights of models that
   /// lack groups, and then dissolves the surplus groups.
   void reassign_hosts(service_state& s, absl::Time now, group_actions& out);
-  void reassign_hosts_to(service_state& s, const model_profile& model, int lack,
-                         absl::Time now, group_actions& out);
+  void reassign_hosts_to(service_state& s, const model_profile& model,
+                         int deficit, absl::Time now, group_actions& out);
   /// Takes the next step of the moves planned for one domain.
   void execute_moves(service_state& s, const model_profile& model,
                      const std::vector<move_plan>& plans, absl::Time now,
@@ -464,10 +464,10 @@
   void count_member(const server_entry& entry, const server_track& track,
                     absl::Time now, domain_weights& weights) const;
   /// Counts which weights the hosts of each domain hold. Appends free hosts
-  /// without weights to `bare`.
+  /// without weights to `unstaged`.
   std::map<std::string, domain_weights> weights_by_domain(
       const service_state& s, absl::Time now,
-      std::vector<std::string>& bare) const;
+      std::vector<std::string>& unstaged) const;
   /// Adds the groups that will form once a domain has enough hosts.
   void count_expected_groups(const service_state& s,
                              domain_weights& weights) const;
--- a/include/spokesail/group-yield.h
+++ b/include/spokesail/group-yield.h
@@ -21,11 +21,11 @@
 /// that they have capacity for.
 constexpr double donor_min_fill_ratio = 0.65;
 
-/// Whether `giver` may dissolve `count` more of its groups so that `taker` gets
-/// one more. It may dissolve those beyond its share, and others if `taker` has
-/// hardly any left. A merely larger fill ratio of `giver` is not enough, since
-/// its groups are needed in bursts.
-bool may_yield(const model_group_counts& giver, const model_group_counts& taker,
-               int count);
+/// Whether `donor` may dissolve `count` more of its groups so that `recipient`
+/// gets one more. It may dissolve those beyond its share, and others if
+/// `recipient` has hardly any left. A merely larger fill ratio of `donor` is
+/// not enough, since its groups are needed in bursts.
+bool may_yield(const model_group_counts& donor,
+               const model_group_counts& recipient, int count);
 
 }  // namespace spokesail
--- a/include/spokesail/model-shares.h
+++ b/include/spokesail/model-shares.h
@@ -78,7 +78,7 @@
   /// the lowest gain, as fractions of the cost.
   double gain = 0;
   double min_gain = 0;
-  absl::Duration seen = absl::ZeroDuration();
+  absl::Duration observed = absl::ZeroDuration();
   bool operator==(const allocation_change&) const = default;
 };
 
@@ -97,7 +97,7 @@
 
   /// Clears the observed demand but keeps the shares, for when demand is not
   /// known in full.
-  void clear_samples() { this->seen.clear(); }
+  void clear_samples() { this->samples.clear(); }
 
   /// Restores a share that a previous holder had in force.
   void restore_share(const std::string& model, double share) {
@@ -136,7 +136,7 @@
                         const count_by_model& counts);
 
   reallocation_rules rules;
-  std::deque<sample> seen;
+  std::deque<sample> samples;
   std::map<std::string, double> shares;
   /// The configured shares at the last call of `sync_configured_shares`.
   std::map<std::string, double> configured;
--- a/src/controller.cc
+++ b/src/controller.cc
@@ -141,7 +141,7 @@
 std::optional<object> controller::on_placement_answer(
     const platform_answer& answer) {
   this->placement_call_out = false;
-  const auto take = [this](const object& found) {
+  const auto accept = [this](const object& found) {
     this->base = found;
     this->current = placement{};
     const json spec = json::parse(found.body, nullptr, false);
@@ -149,9 +149,9 @@
     this->placement_read = true;
   };
   if (!this->write) {
-    if (answer.status == call_status::ok) take(answer.found);
+    if (answer.status == call_status::ok) accept(answer.found);
     if (answer.status == call_status::not_found) {
-      take(object{{kinds::placement, this->hall}, 0, {}, false});
+      accept(object{{kinds::placement, this->hall}, 0, {}, false});
     }
     return std::nullopt;
   }
@@ -160,7 +160,7 @@
   const bool applied = this->write->state == write_state::applied;
   object found = this->write->found;
   if (applied && !found.body.empty()) {
-    take(found);
+    accept(found);
     this->placement_owned = this->current.fence == this->term_fence;
   } else {
     // Another writer won: read the document again before the next write.
@@ -197,9 +197,10 @@
   // An order of the last holder may still be on its way to a host that does not
   // check fencing numbers. Nor is a host given to another group while an order
   // of this holder is outstanding.
-  const absl::Time quiet = this->term_since + 2 * this->timing.order_deadline;
+  const absl::Time earliest_reassignment =
+      this->term_since + 2 * this->timing.order_deadline;
   for (auto& [name, host] : in.hosts) {
-    if (!host.info.checks_fencing) host.reassign_after = quiet;
+    if (!host.info.checks_fencing) host.reassign_after = earliest_reassignment;
     const auto it = this->orders.find(name);
     if (it == this->orders.end() || !it->second.out) continue;
     host.reassign_after = std::max(
@@ -293,12 +294,12 @@
 
 std::vector<controller::spare_demand> controller::spare_demands(
     const controller_view& view, const std::string& domain) const {
-  std::set<std::string> here;
+  std::set<std::string> models_here;
   for (const auto& g : this->current.groups) {
     const auto leader = view.hosts.find(g.hosts.front());
     const bool same =
         leader != view.hosts.end() && leader->second.info.domain == domain;
-    if (same) here.insert(g.model);
+    if (same) models_here.insert(g.model);
   }
   std::vector<spare_demand> demands;
   for (const auto& model : view.config->models) {
@@ -306,7 +307,7 @@
     if (wanted == model.replicas.end() || wanted->second == 0) continue;
     // A group of this domain needs one host to replace a member; a group of
     // another domain moves here as a whole.
-    const bool member = here.count(model.name) != 0;
+    const bool member = models_here.count(model.name) != 0;
     demands.push_back({&model, member ? 1 : model.hosts_per_replica, member});
   }
   std::stable_sort(demands.begin(), demands.end(),
--- a/src/demand-table.cc
+++ b/src/demand-table.cc
@@ -31,33 +31,33 @@
 }  // namespace
 
 void demand_table::store(const std::string& hall, const std::string& node,
-                         const std::vector<model_demand>& said,
+                         const std::vector<model_demand>& demand,
                          absl::Time now) {
   std::erase_if(this->halls, [&](const auto& item) {
     return now - item.second.at >= hall_ttl;
   });
-  hall_reports& words = this->halls[hall];
-  std::erase_if(words.nodes, [&](const auto& item) {
+  hall_reports& reports = this->halls[hall];
+  std::erase_if(reports.nodes, [&](const auto& item) {
     return now - item.second.at >= report_ttl;
   });
-  words.at = now;
-  words.nodes[node] = {said, now};
+  reports.at = now;
+  reports.nodes[node] = {demand, now};
 }
 
 void demand_table::update_node(const std::string& node, const std::string& hall,
-                               const std::vector<model_demand>& said,
+                               const std::vector<model_demand>& demand,
                                absl::Time now) {
-  if (said.empty()) return;
-  this->store(hall, node, said, now);
+  if (demand.empty()) return;
+  this->store(hall, node, demand, now);
   this->halls[hall].nodes.erase("");
 }
 
 void demand_table::update_hall(const std::string& hall,
-                               const std::vector<model_demand>& said,
+                               const std::vector<model_demand>& demand,
                                absl::Time now) {
-  if (said.empty()) return;
+  if (demand.empty()) return;
   this->halls[hall].nodes.clear();
-  this->store(hall, "", said, now);
+  this->store(hall, "", demand, now);
 }
 
 std::vector<model_demand> demand_table::hall_sum(
@@ -67,8 +67,8 @@
   add(own, out);
   const auto found = this->halls.find(hall);
   if (found == this->halls.end()) return as_list(out);
-  for (const auto& [node, said] : found->second.nodes) {
-    if (now - said.at < report_ttl) add(said.demand, out);
+  for (const auto& [node, report] : found->second.nodes) {
+    if (now - report.at < report_ttl) add(report.demand, out);
   }
   return as_list(out);
 }
@@ -78,14 +78,14 @@
   sums all;
   add(own, all);
   demand_view out;
-  for (const auto& [hall, words] : this->halls) {
-    const absl::Duration silent = now - words.at;
-    if (silent >= hall_ttl) continue;
-    if (silent >= report_ttl) out.missing_halls++;
-    for (const auto& [node, said] : words.nodes) {
-      if (now - said.at >= report_ttl) continue;
-      out.age = std::max(out.age, now - said.at);
-      add(said.demand, all);
+  for (const auto& [hall, reports] : this->halls) {
+    const absl::Duration age = now - reports.at;
+    if (age >= hall_ttl) continue;
+    if (age >= report_ttl) out.missing_halls++;
+    for (const auto& [node, report] : reports.nodes) {
+      if (now - report.at >= report_ttl) continue;
+      out.age = std::max(out.age, now - report.at);
+      add(report.demand, all);
     }
   }
   out.models = as_list(all);
--- a/src/group-controller-runner.cc
+++ b/src/group-controller-runner.cc
@@ -42,9 +42,9 @@
                                                  lease_manager& lease)
     : node(state), manager(lease), controller(state.settings.groups) {}
 
-holder_state group_controller_runner::word() const {
+holder_state group_controller_runner::snapshot() const {
   holder_state out;
-  out.silent = this->controller.silent_servers();
+  out.unresponsive = this->controller.unresponsive_servers();
   out.loads_begun = this->controller.loads_begun(this->node.now());
   out.shares = this->controller.shares();
   return out;
@@ -57,9 +57,10 @@
 }
 
 std::vector<model_share> group_controller_runner::known_shares() const {
-  const bool heard_later = this->node.last_holder_state &&
-                           this->node.holder_heard_at > this->last_term_end;
-  return heard_later ? this->node.last_holder_state->shares : this->last_shares;
+  const bool received_later = this->node.last_holder_state &&
+                              this->node.holder_heard_at > this->last_term_end;
+  return received_later ? this->node.last_holder_state->shares
+                        : this->last_shares;
 }
 
 void group_controller_runner::update_demand() {
@@ -67,23 +68,23 @@
   if (!this->node.settings.groups.follow_demand) return;
   if (now - this->demand_updated < demand_period) return;
   this->demand_updated = now;
-  const demand_view known =
-      this->node.demand.total(this->node.asked.rates(now), now);
-  this->controller.update_demand(known, now);
+  const demand_view demand =
+      this->node.demand.total(this->node.own_demand.rates(now), now);
+  this->controller.update_demand(demand, now);
   if (now - this->demand_logged < demand_log_period) return;
   this->demand_logged = now;
-  for (const auto& asked : known.models) {
+  for (const auto& item : demand.models) {
     this->node.log.state_change(
         "model_demand",
-        {{"service", asked.service},
-         {"model", asked.model},
-         {"requests_s", absl::StrCat(asked.requests)},
-         {"prompt_tokens_s", absl::StrCat(asked.prompt_tokens)},
-         {"answer_tokens_s", absl::StrCat(asked.answer_tokens)},
-         {"refused_s", absl::StrCat(asked.refused)},
+        {{"service", item.service},
+         {"model", item.model},
+         {"requests_s", absl::StrCat(item.requests)},
+         {"prompt_tokens_s", absl::StrCat(item.prompt_tokens)},
+         {"answer_tokens_s", absl::StrCat(item.answer_tokens)},
+         {"refused_s", absl::StrCat(item.refused)},
          {"window_s", absl::StrCat(demand_window::window_s)},
-         {"age_ms", absl::StrCat(absl::ToInt64Milliseconds(known.age))},
-         {"missing_halls", absl::StrCat(known.missing_halls)}},
+         {"age_ms", absl::StrCat(absl::ToInt64Milliseconds(demand.age))},
+         {"missing_halls", absl::StrCat(demand.missing_halls)}},
         now);
   }
 }
@@ -93,10 +94,10 @@
 }
 
 void group_controller_runner::sync_with_lease() {
-  const bool held = this->manager.holds();
-  if (held == this->term_active) return;
-  this->term_active = held;
-  if (held) {
+  const bool holds_lease = this->manager.holds();
+  if (holds_lease == this->term_active) return;
+  this->term_active = holds_lease;
+  if (holds_lease) {
     this->controller.start_term(this->manager.fence(),
                                 this->known_earlier_loads(),
                                 this->known_shares());
@@ -115,21 +116,23 @@
   const http_request request = this->node.adapter.write_order(order);
   const fetch_result result =
       co_await this->node.fetcher.fetch(order.address, request, order_timeout);
-  order_result end = order_result::unknown;
-  if (result.status == fetch_status::not_sent) end = order_result::unreachable;
+  order_result outcome = order_result::unknown;
+  if (result.status == fetch_status::not_sent)
+    outcome = order_result::unreachable;
   if (result.status == fetch_status::ok) {
-    end = this->node.adapter.read_order_answer(result.response);
+    outcome = this->node.adapter.read_order_answer(result.response);
   }
   this->node.metrics.count_order(order_name(order.kind),
-                                 order_result_name(end));
-  const bool conflict = end == order_result::conflict;
-  this->log_order(order, end, conflict ? result.response.body() : result.error);
-  this->controller.on_order_result(order, end, this->node.now());
+                                 order_result_name(outcome));
+  const bool conflict = outcome == order_result::conflict;
+  this->log_order(order, outcome,
+                  conflict ? result.response.body() : result.error);
+  this->controller.on_order_result(order, outcome, this->node.now());
 }
 
 void group_controller_runner::log_order(const group_order& order,
-                                        order_result end,
-                                        const std::string& why) {
+                                        order_result outcome,
+                                        const std::string& reason) {
   this->node.log.state_change(
       "order",
       {{"order", order_name(order.kind)},
@@ -138,18 +141,18 @@
        {"model", order.model},
        {"expected", absl::StrCat(order.expected_orders)},
        {"fence", absl::StrCat(order.fence)},
-       {"result", order_result_name(end)},
-       {"why", why}},
+       {"result", order_result_name(outcome)},
+       {"why", reason}},
       this->node.now());
 }
 
 net::awaitable<void> group_controller_runner::fetch_report(
     std::string server, std::string address) {
   const http_request request = this->node.adapter.write_report_request(server);
-  const absl::Duration limit =
+  const absl::Duration timeout =
       report_timeout + delay_allowance * this->node.loop_delay;
   const fetch_result result =
-      co_await this->node.fetcher.fetch(address, request, limit);
+      co_await this->node.fetcher.fetch(address, request, timeout);
   std::optional<server_report> report;
   if (result.status == fetch_status::ok) {
     report = this->node.adapter.read_report(result.response);
@@ -212,7 +215,7 @@
     net::co_spawn(this->node.loop, this->fetch_report(id, entry->address),
                   net::detached);
   }
-  if (actions.step_down) this->manager.stand_down();
+  if (actions.step_down) this->manager.step_down();
 }
 
 net::awaitable<void> group_controller_runner::run() {
--- a/src/group-controller-runner.h
+++ b/src/group-controller-runner.h
@@ -20,7 +20,7 @@
   boost::asio::awaitable<void> run();
 
   /// The holder state that is sent along with the lease.
-  holder_state word() const;
+  holder_state snapshot() const;
 
   /// Reports a server that may be down to the controller.
   void suspect(const std::string& server);
@@ -40,7 +40,7 @@
   void log_notes(const std::vector<controller_event>& notes);
   boost::asio::awaitable<void> send_order(group_order order);
   void log_order(const group_order& order, order_result end,
-                 const std::string& why);
+                 const std::string& reason);
   boost::asio::awaitable<void> fetch_report(std::string server,
                                             std::string address);
 
--- a/src/group-controller.cc
+++ b/src/group-controller.cc
@@ -35,19 +35,22 @@
 /// Number of servers of one data hall.
 struct hall_count {
   int servers = 0;
-  int silent = 0;
+  int unresponsive = 0;
 };
 
 /// Whether a server's reported membership confirms or supersedes the assumed
 /// one.
-bool confirms(const group_membership& said, const group_membership& assumed) {
+bool confirms(const group_membership& reported,
+              const group_membership& assumed) {
   if (assumed.phase == member_phase::none) {
-    return said.phase == member_phase::none || said.epoch > assumed.epoch;
+    return reported.phase == member_phase::none ||
+           reported.epoch > assumed.epoch;
   }
-  const bool same = said.group == assumed.group && said.epoch == assumed.epoch;
-  if (said.epoch > assumed.epoch) return true;
+  const bool same =
+      reported.group == assumed.group && reported.epoch == assumed.epoch;
+  if (reported.epoch > assumed.epoch) return true;
   return same && (assumed.phase == member_phase::joining ||
-                  said.phase != member_phase::ready);
+                  reported.phase != member_phase::ready);
 }
 
 /// A server's membership after it has executed `order`.
@@ -102,14 +105,14 @@
 void group_controller::suspect(const std::string& server, absl::Time now) {
   if (!this->active()) return;
   const auto found = this->tracks.find(server);
-  if (found == this->tracks.end() || found->second.silent) return;
+  if (found == this->tracks.end() || found->second.unresponsive) return;
   found->second.probe_at = std::min(found->second.probe_at, now);
 }
 
 void group_controller::on_order_result(const group_order& order,
                                        order_result result, absl::Time now) {
   const bool answered = result != order_result::unknown;
-  this->pending_orders.ended(order.server, answered, this->loop_delay, now);
+  this->pending_orders.on_ended(order.server, answered, this->loop_delay, now);
   const auto found = this->tracks.find(order.server);
   if (found == this->tracks.end()) return;
   server_track& track = found->second;
@@ -123,8 +126,9 @@
   if (order.kind == group_order_kind::stage) track.staging_until = now;
   const bool gone = result == order_result::unreachable ||
                     result == order_result::other_server;
-  const bool ask_now = result == order_result::unknown || gone;
-  track.probe_at = now + (ask_now ? absl::ZeroDuration() : refused_probe_delay);
+  const bool probe_now = result == order_result::unknown || gone;
+  track.probe_at =
+      now + (probe_now ? absl::ZeroDuration() : refused_probe_delay);
 }
 
 void group_controller::on_accepted(server_track& track,
@@ -148,12 +152,13 @@
                                  const std::optional<server_report>& report,
                                  absl::Time now) {
   // An answer to a probe of an earlier term is just as valid.
-  this->pending_probes.ended(server, report.has_value(), this->loop_delay, now);
+  this->pending_probes.on_ended(server, report.has_value(), this->loop_delay,
+                                now);
   const auto found = this->tracks.find(server);
   if (found == this->tracks.end()) return;
   server_track& track = found->second;
   if (!report) {
-    track.silent = true;
+    track.unresponsive = true;
     track.probe_at = now + this->options.probe_retry_interval;
     return;
   }
@@ -164,7 +169,7 @@
   }
   if (report->incarnation > track.incarnation)
     this->reset_after_restart(track, *report, now);
-  track.silent = false;
+  track.unresponsive = false;
   track.probe_at = absl::InfiniteFuture();
   if (!track.pending) track.orders_started = report->orders_started;
   track.order_running = report->order_running;
@@ -175,19 +180,19 @@
 void group_controller::reset_after_restart(server_track& track,
                                            const server_report& report,
                                            absl::Time now) {
-  const bool known_before = track.incarnation != 0;
-  if (known_before) track = server_track();
+  const bool was_known = track.incarnation != 0;
+  if (was_known) track = server_track();
   track.incarnation = report.incarnation;
-  if (!known_before) return;
+  if (!was_known) return;
   // Its entry may still be that of the earlier incarnation.
   track.assumed = report.membership;
   track.assumed_until = now + this->options.assumption_ttl;
 }
 
-std::vector<std::string> group_controller::silent_servers() const {
+std::vector<std::string> group_controller::unresponsive_servers() const {
   std::vector<std::string> out;
   for (const auto& [id, track] : this->tracks) {
-    if (track.silent) out.push_back(id);
+    if (track.unresponsive) out.push_back(id);
   }
   return out;
 }
@@ -195,7 +200,7 @@
 bool group_controller::usable(const server_entry& entry) const {
   const auto found = this->tracks.find(entry.id);
   return !entry.draining && found != this->tracks.end() &&
-         !found->second.silent;
+         !found->second.unresponsive;
 }
 
 bool group_controller::in_closed_hall(const service_state& s,
@@ -243,17 +248,17 @@
 }
 
 void group_controller::send_probes(group_actions& out, absl::Time now) {
-  const auto ask_where = [&](const auto& wanted) {
+  const auto probe_where = [&](const auto& needed) {
     for (auto& [id, track] : this->tracks) {
-      if (!this->pending_probes.open()) return;
-      if (this->pending_probes.asks(id) || !wanted(track)) continue;
-      this->pending_probes.sent(id);
+      if (!this->pending_probes.has_capacity()) return;
+      if (this->pending_probes.is_outstanding(id) || !needed(track)) continue;
+      this->pending_probes.on_sent(id);
       out.report_requests.push_back(id);
     }
   };
   // Servers in doubt are probed before those that were never probed.
-  ask_where([&](const server_track& t) { return now >= t.probe_at; });
-  ask_where([&](const server_track& t) {
+  probe_where([&](const server_track& t) { return now >= t.probe_at; });
+  probe_where([&](const server_track& t) {
     return !t.orders_started && !t.pending &&
            t.probe_at == absl::InfiniteFuture();
   });
@@ -273,7 +278,8 @@
     const auto at = s.servers.emplace_hint(s.servers.end(), id, server);
     server_entry& entry = at->second.entry;
     if (track.assumed) entry.membership = *track.assumed;
-    if (!entry.draining && !track.silent && !this->in_closed_hall(entry)) {
+    if (!entry.draining && !track.unresponsive &&
+        !this->in_closed_hall(entry)) {
       s.usable_hosts[entry.domain]++;
     }
     s.index[at->first] = {&at->second, &track};
@@ -286,8 +292,8 @@
                             group_actions& out) {
   server_track& track = this->tracks[entry.id];
   if (track.pending || !track.orders_started) return false;
-  if (!this->pending_orders.open()) return false;
-  this->pending_orders.sent(entry.id);
+  if (!this->pending_orders.has_capacity()) return false;
+  this->pending_orders.on_sent(entry.id);
   order.server = entry.id;
   order.address = entry.address;
   order.expected_orders = *track.orders_started;
@@ -306,7 +312,7 @@
 }
 
 bool group_controller::is_isolated(const server_directory& directory) const {
-  if (this->silent_servers().size() <= max_ignored_silent) return false;
+  if (this->unresponsive_servers().size() <= max_ignored_silent) return false;
   // If a data hall is cut off, all of its servers are unresponsive although the
   // holder is sound, so halls are counted rather than servers.
   std::map<std::string, hall_count> halls;
@@ -315,14 +321,14 @@
     if (entry == nullptr) continue;
     hall_count& hall = halls[entry->hall];
     hall.servers++;
-    if (track.silent) hall.silent++;
+    if (track.unresponsive) hall.unresponsive++;
   }
-  const auto dark =
+  const auto isolated_halls =
       std::count_if(halls.begin(), halls.end(), [&](const auto& hall) {
-        const auto& [servers, silent] = hall.second;
-        return silent > this->options.isolation_threshold * servers;
+        const auto& [servers, unresponsive] = hall.second;
+        return unresponsive > this->options.isolation_threshold * servers;
       });
-  return 2 * static_cast<size_t>(dark) > halls.size();
+  return 2 * static_cast<size_t>(isolated_halls) > halls.size();
 }
 
 group_actions group_controller::step(const server_directory& directory,
@@ -334,7 +340,7 @@
   this->send_probes(out, now);
   if (this->is_isolated(directory)) {
     out.notes.push_back({"controller_cut_off",
-                         absl::StrCat(this->silent_servers().size()),
+                         absl::StrCat(this->unresponsive_servers().size()),
                          "too many servers do not answer"});
     out.step_down = true;
     return out;
@@ -351,9 +357,9 @@
                                          bool requests_seen, absl::Time now,
                                          group_actions& out) {
   service_state s = this->build_service_state(directory, service);
-  std::set<std::string> standing;
+  std::set<std::string> existing;
   for (const auto& group : s.groups) {
-    standing.insert(group.name);
+    existing.insert(group.name);
     if (this->warmups.count(group.name) != 0) {
       this->end_warmup(s, group, out);
       continue;
@@ -361,13 +367,13 @@
     this->reconcile_group(s, group, now, out);
   }
   for (const auto& [name, plan] : this->plans) {
-    if (standing.count(name) != 0 || plan.deadline <= now) continue;
+    if (existing.count(name) != 0 || plan.deadline <= now) continue;
     if (plan.service == s.service && !this->in_closed_hall(s, plan.members)) {
       s.group_count[plan.model]++;
     }
   }
   std::erase_if(this->plans, [&](const auto& item) {
-    return item.second.deadline <= now && standing.count(item.first) == 0;
+    return item.second.deadline <= now && existing.count(item.first) == 0;
   });
   if (requests_seen) this->update_allocation(s, now, out);
   s.spare_groups = this->spare_groups(s);
--- a/src/group-division.cc
+++ b/src/group-division.cc
@@ -46,7 +46,7 @@
           absl::StrCat("from ", counts_text(change.from), " to ",
                        counts_text(change.to), " for need ",
                        needs_text(change.need), " observed for ",
-                       absl::FormatDuration(change.seen), " report_age ",
+                       absl::FormatDuration(change.observed), " report_age ",
                        absl::FormatDuration(age), " gain ",
                        std::round(change.gain * 100) / 100, " lowest ",
                        std::round(change.min_gain * 100) / 100)};
@@ -67,7 +67,7 @@
   std::string domain;
   std::vector<std::string> members;
   /// Groups that have to be dissolved.
-  std::vector<const group_view*> ended;
+  std::vector<const group_view*> dissolved;
   /// Members that neither hold the weights nor are loading them.
   int loads = 0;
 };
@@ -96,18 +96,18 @@
 }
 
 void group_controller::restore_allocation(
-    const std::vector<model_share>& known) {
+    const std::vector<model_share>& last_shares) {
   if (!this->options.follow_demand) return;
-  for (const auto& said : known) {
-    this->allocation_of(said.service)
-        .shares.restore_share(said.model, said.share);
+  for (const auto& item : last_shares) {
+    this->allocation_of(item.service)
+        .shares.restore_share(item.model, item.share);
   }
 }
 
 std::vector<model_share> group_controller::shares() const {
   std::vector<model_share> out;
-  for (const auto& [service, known] : this->allocations) {
-    for (const auto& [model, share] : known.shares.changed()) {
+  for (const auto& [service, allocation] : this->allocations) {
+    for (const auto& [model, share] : allocation.shares.changed()) {
       out.push_back({service, model, share});
     }
   }
@@ -117,14 +117,14 @@
 void group_controller::update_allocation(const service_state& s, absl::Time now,
                                          group_actions& out) {
   if (!this->options.follow_demand) return;
-  service_allocation& known = this->allocation_of(s.service);
-  if (now - known.at < allocation_period) return;
-  known.at = now;
-  known.shares.sync_configured_shares(*s.engine);
-  const bool whole = this->demand && this->demand->missing_halls == 0 &&
-                     now - this->demand_at < demand_table::report_ttl;
-  if (!whole) {
-    known.shares.clear_samples();
+  service_allocation& allocation = this->allocation_of(s.service);
+  if (now - allocation.at < allocation_period) return;
+  allocation.at = now;
+  allocation.shares.sync_configured_shares(*s.engine);
+  const bool complete = this->demand && this->demand->missing_halls == 0 &&
+                        now - this->demand_at < demand_table::report_ttl;
+  if (!complete) {
+    allocation.shares.clear_samples();
     return;
   }
   count_by_model wanted;
@@ -132,12 +132,12 @@
   for (const auto& model : s.engine->models) {
     wanted[model.name] = static_cast<int>(this->wanted_groups(s, model));
   }
-  for (const auto& asked : this->demand->models) {
-    const model_profile* model = find_model(*s.engine, asked.model);
-    if (asked.service != s.service || model == nullptr) continue;
-    need[model->name] = needed_groups(*s.engine, *model, asked);
+  for (const auto& requested : this->demand->models) {
+    const model_profile* model = find_model(*s.engine, requested.model);
+    if (requested.service != s.service || model == nullptr) continue;
+    need[model->name] = needed_groups(*s.engine, *model, requested);
   }
-  const auto change = known.shares.add_sample(
+  const auto change = allocation.shares.add_sample(
       *s.engine, this->available_capacity(s), wanted, need, now);
   if (!change) return;
   const absl::Duration age = now - this->demand_at + this->demand->age;
@@ -149,14 +149,15 @@
                                          absl::Time now) {
   const auto key = std::pair(s.service, model.name);
   const auto count = s.group_count.find(model.name);
-  const int standing = count == s.group_count.end() ? 0 : count->second;
-  const int lack = static_cast<int>(this->wanted_groups(s, model)) - standing;
-  if (lack <= 0) {
+  const int existing = count == s.group_count.end() ? 0 : count->second;
+  const int deficit =
+      static_cast<int>(this->wanted_groups(s, model)) - existing;
+  if (deficit <= 0) {
     this->lacking_since.erase(key);
     return 0;
   }
   const absl::Time since = this->lacking_since.emplace(key, now).first->second;
-  return now - since < max_repair_time ? 0 : lack;
+  return now - since < max_repair_time ? 0 : deficit;
 }
 
 int group_controller::surplus_groups(const service_state& s,
@@ -167,18 +168,19 @@
 }
 
 bool group_controller::may_dissolve_now(
-    const service_state& s, const std::vector<const group_view*>& ended) const {
+    const service_state& s,
+    const std::vector<const group_view*>& dissolved) const {
   count_by_model out;
   for (const auto& name : this->reassigned_groups) out[group_model(name)]++;
-  const count_by_model before = out;
-  for (const group_view* group : ended) out[group->model]++;
+  const count_by_model already = out;
+  for (const group_view* group : dissolved) out[group->model]++;
   return std::all_of(out.begin(), out.end(), [&](const auto& item) {
     const auto& [model, count] = item;
-    if (before.count(model) == 0) return true;
-    const auto standing = s.group_count.find(model);
-    if (standing == s.group_count.end()) return false;
+    if (already.count(model) == 0) return true;
+    const auto existing = s.group_count.find(model);
+    if (existing == s.group_count.end()) return false;
     return count <=
-           max_reassigned_fraction * (standing->second + before.at(model));
+           max_reassigned_fraction * (existing->second + already.at(model));
   });
 }
 
@@ -201,11 +203,11 @@
   for (const auto& group : s.groups) {
     if (this->warmups.count(group.name) != 0) continue;
     if (this->stopped_groups.count(group.name) != 0) continue;
-    const bool sound = std::all_of(
+    const bool may_move = std::all_of(
         group.members.begin(), group.members.end(), [&](const auto& id) {
           return !id.empty() && s.has_server(id) && this->may_join(s.entry(id));
         });
-    if (!sound) continue;
+    if (!may_move) continue;
     domain_pool& pool = out[s.entry(group.head()).domain];
     if (this->dissolving.count(group.name) != 0) {
       pool.hosts.insert(pool.hosts.end(), group.members.begin(),
@@ -224,39 +226,41 @@
 
 std::optional<group_controller::move_plan> group_controller::plan_move(
     const service_state& s, const model_profile& model, const domain_pool& pool,
-    const count_by_model& left, absl::Time now) const {
+    const count_by_model& dissolvable, absl::Time now) const {
   const auto size = static_cast<size_t>(model.group_size);
-  const auto lacks = [&](const std::string& id) {
+  const auto loads_needed = [&](const std::string& id) {
     return this->has_or_is_loading(s, id, model, now) ? 0 : 1;
   };
-  const auto cost = [&](const group_view& group) {
+  const auto group_loads = [&](const group_view& group) {
     int loads = 0;
-    for (const auto& id : group.members) loads += lacks(id);
+    for (const auto& id : group.members) loads += loads_needed(id);
     return loads;
   };
   move_plan plan;
   plan.domain = pool.domain;
   std::vector<std::string> hosts = pool.hosts;
   std::vector<const group_view*> groups = pool.groups;
-  count_by_model may_end = left;
+  count_by_model remaining = dissolvable;
   while (hosts.size() < size) {
     std::erase_if(groups,
-                  [&](const auto* g) { return may_end[g->model] <= 0; });
+                  [&](const auto* g) { return remaining[g->model] <= 0; });
     const auto next = std::min_element(
         groups.begin(), groups.end(), [&](const auto* a, const auto* b) {
-          return std::tuple(cost(*a), a->name) < std::tuple(cost(*b), b->name);
+          return std::tuple(group_loads(*a), a->name) <
+                 std::tuple(group_loads(*b), b->name);
         });
     if (next == groups.end()) return std::nullopt;
-    may_end[(*next)->model]--;
+    remaining[(*next)->model]--;
     hosts.insert(hosts.end(), (*next)->members.begin(), (*next)->members.end());
-    plan.ended.push_back(*next);
+    plan.dissolved.push_back(*next);
     groups.erase(next);
   }
-  std::stable_sort(
-      hosts.begin(), hosts.end(),
-      [&](const auto& a, const auto& b) { return lacks(a) < lacks(b); });
+  std::stable_sort(hosts.begin(), hosts.end(),
+                   [&](const auto& a, const auto& b) {
+                     return loads_needed(a) < loads_needed(b);
+                   });
   hosts.resize(size);
-  for (const auto& id : hosts) plan.loads += lacks(id);
+  for (const auto& id : hosts) plan.loads += loads_needed(id);
   plan.members = std::move(hosts);
   return plan;
 }
@@ -270,34 +274,35 @@
     });
   });
   for (const auto& model : s.engine->models) {
-    const int lack = this->persistent_deficit(s, model, now);
-    if (lack > 0) this->reassign_hosts_to(s, model, lack, now, out);
+    const int deficit = this->persistent_deficit(s, model, now);
+    if (deficit > 0) this->reassign_hosts_to(s, model, deficit, now, out);
   }
 }
 
 void group_controller::reassign_hosts_to(service_state& s,
-                                         const model_profile& model, int lack,
-                                         absl::Time now, group_actions& out) {
-  count_by_model left;
+                                         const model_profile& model,
+                                         int deficit, absl::Time now,
+                                         group_actions& out) {
+  count_by_model dissolvable;
   for (const auto& other : s.engine->models) {
     if (other.name != model.name)
-      left[other.name] = this->surplus_groups(s, other);
+      dissolvable[other.name] = this->surplus_groups(s, other);
   }
   auto pools = this->domain_pools_for(s, model);
   std::map<std::string, std::vector<move_plan>> by_domain;
-  for (int i = 0; i < lack; ++i) {
+  for (int i = 0; i < deficit; ++i) {
     std::optional<move_plan> best;
     const auto order = [](const move_plan& p) {
-      return std::tuple(p.loads, p.ended.size());
+      return std::tuple(p.loads, p.dissolved.size());
     };
     for (const auto& [domain, pool] : pools) {
-      auto plan = this->plan_move(s, model, pool, left, now);
+      auto plan = this->plan_move(s, model, pool, dissolvable, now);
       if (plan && (!best || order(*plan) < order(*best))) best = plan;
     }
     if (!best) break;
     domain_pool& pool = pools[best->domain];
-    for (const group_view* group : best->ended) {
-      left[group->model]--;
+    for (const group_view* group : best->dissolved) {
+      dissolvable[group->model]--;
       std::erase(pool.groups, group);
       pool.hosts.insert(pool.hosts.end(), group->members.begin(),
                         group->members.end());
@@ -326,12 +331,13 @@
       this->stage(s, id, model, true, now, out);
     }
   }
-  std::vector<const group_view*> ended;
+  std::vector<const group_view*> dissolved;
   for (const auto& plan : plans) {
-    ended.insert(ended.end(), plan.ended.begin(), plan.ended.end());
+    dissolved.insert(dissolved.end(), plan.dissolved.begin(),
+                     plan.dissolved.end());
   }
-  if (!ready || !this->may_dissolve_now(s, ended)) return;
-  for (const group_view* group : ended) {
+  if (!ready || !this->may_dissolve_now(s, dissolved)) return;
+  for (const group_view* group : dissolved) {
     this->reassigned_groups.insert(group->name);
     s.group_count[group->model]--;
     s.spare_groups.erase(group->name);
--- a/src/group-formation.cc
+++ b/src/group-formation.cc
@@ -24,24 +24,24 @@
 
 bool group_controller::server_count_stable(const service_state& s,
                                            absl::Time now) {
-  server_count_record& known = this->server_counts[s.service];
-  if (s.servers.size() != known.servers) known = {s.servers.size(), now};
-  return now - known.since >= stable_time;
+  server_count_record& record = this->server_counts[s.service];
+  if (s.servers.size() != record.servers) record = {s.servers.size(), now};
+  return now - record.since >= stable_time;
 }
 
 bool group_controller::free_to_join(const service_state& s,
                                     const server_entry& entry) const {
   const server_track& track = s.track(entry.id);
-  if (entry.draining || track.silent || track.pending ||
+  if (entry.draining || track.unresponsive || track.pending ||
       !track.orders_started) {
     return false;
   }
-  if (this->pending_probes.asks(entry.id)) return false;
+  if (this->pending_probes.is_outstanding(entry.id)) return false;
   if (s.index.at(entry.id).listed->expires_at != absl::InfinitePast())
     return false;
-  const group_membership& said = entry.membership;
-  return said.phase == member_phase::none ||
-         this->stopped_groups.count(said.group) != 0;
+  const group_membership& membership = entry.membership;
+  return membership.phase == member_phase::none ||
+         this->stopped_groups.count(membership.group) != 0;
 }
 
 absl::Duration group_controller::join_time(const service_state& s,
@@ -60,9 +60,9 @@
 bool group_controller::last_ran(const service_state& s,
                                 const std::string& server,
                                 const model_profile& model) const {
-  const group_membership& said = s.entry(server).membership;
-  const bool member =
-      group_model(said.group) == model.name && said.phase != member_phase::none;
+  const group_membership& membership = s.entry(server).membership;
+  const bool member = group_model(membership.group) == model.name &&
+                      membership.phase != member_phase::none;
   return member || s.track(server).last_model == model.name;
 }
 
@@ -133,20 +133,22 @@
     f.domain = domain;
     f.members.assign(sorted.begin(),
                      sorted.begin() + static_cast<ptrdiff_t>(size));
-    f.left = ids.size() - size;
-    std::set<std::string> ended;
+    f.free_left = ids.size() - size;
+    std::set<std::string> dissolved;
     for (const auto& id : f.members) {
       const absl::Duration time = this->join_time(s, id, model, now);
       f.slowest = std::max(f.slowest, time);
       if (this->needs_load(s, id, model)) f.loads++;
-      const group_membership& said = s.entry(id).membership;
-      if (said.phase != member_phase::none && this->remains(said.group)) {
-        ended.insert(said.group);
+      const group_membership& membership = s.entry(id).membership;
+      if (membership.phase != member_phase::none &&
+          this->remains(membership.group)) {
+        dissolved.insert(membership.group);
       }
     }
-    f.ended = static_cast<int>(ended.size());
+    f.dissolved = static_cast<int>(dissolved.size());
     const auto order = [](const group_candidate& x) {
-      return std::tuple(x.loads, x.ended, x.slowest, -static_cast<int>(x.left));
+      return std::tuple(x.loads, x.dissolved, x.slowest,
+                        -static_cast<int>(x.free_left));
     };
     if (!best || order(f) < order(*best)) best = f;
   }
@@ -154,7 +156,7 @@
 }
 
 const model_profile* group_controller::next_model(
-    const service_state& s, const std::set<std::string>& passed_over,
+    const service_state& s, const std::set<std::string>& skipped,
     bool requests_seen) const {
   // Before the first request the largest groups go first, since they fit into
   // the fewest places; later the model with the lowest fill ratio goes first.
@@ -162,7 +164,7 @@
   double least = 1;
   for (const auto& model : s.engine->models) {
     const double fill = this->fill_ratio(s, model);
-    if (fill >= 1 || passed_over.count(model.name) != 0) continue;
+    if (fill >= 1 || skipped.count(model.name) != 0) continue;
     const bool larger = next != nullptr && model.group_size > next->group_size;
     const bool better =
         next == nullptr || (requests_seen ? fill < least : larger);
@@ -176,18 +178,18 @@
 void group_controller::form_groups(service_state& s, bool requests_seen,
                                    absl::Time now, group_actions& out) {
   auto free = this->free_hosts(s);
-  std::set<std::string> passed_over;
+  std::set<std::string> skipped;
   while (const model_profile* model =
-             this->next_model(s, passed_over, requests_seen)) {
+             this->next_model(s, skipped, requests_seen)) {
     const auto best = this->best_candidate(s, *model, free, now);
-    const bool at_once = best && best->loads == 0;
-    if (requests_seen && !at_once &&
+    const bool without_loads = best && best->loads == 0;
+    if (requests_seen && !without_loads &&
         this->reclaim_spares(s, *model, free, now, out)) {
-      passed_over.insert(model->name);
+      skipped.insert(model->name);
       continue;
     }
     if (!best) {
-      passed_over.insert(model->name);
+      skipped.insert(model->name);
       continue;
     }
     // Before the first request a load is quick and not limited. Later, the
@@ -195,7 +197,7 @@
     // meanwhile.
     if (requests_seen && best->loads > 0) {
       this->stage_for(s, *best, now, out);
-      passed_over.insert(model->name);
+      skipped.insert(model->name);
     } else {
       this->form_group(s, *model, best->members, now, out);
     }
@@ -242,9 +244,9 @@
   std::vector<std::string> failed;
   for (const auto& [name, plan] : this->plans) {
     if (plan.service != s.service) continue;
-    const bool sound = this->may_form(s, plan);
-    if (!sound) failed.push_back(name);
-    if (!sound || now >= plan.deadline) continue;
+    const bool may_proceed = this->may_form(s, plan);
+    if (!may_proceed) failed.push_back(name);
+    if (!may_proceed || now >= plan.deadline) continue;
     group_order join =
         make_group_order(group_order_kind::join, name, plan.epoch);
     join.model = plan.model;
@@ -258,10 +260,10 @@
   }
   // A group that some members have joined is dissolved by its own state.
   for (const auto& name : failed) {
-    const bool stands =
+    const bool exists =
         std::any_of(s.groups.begin(), s.groups.end(),
                     [&](const auto& group) { return group.name == name; });
-    if (!stands) this->plans.erase(name);
+    if (!exists) this->plans.erase(name);
   }
 }
 
--- a/src/group-repair.cc
+++ b/src/group-repair.cc
@@ -94,7 +94,7 @@
     return false;
   }
   const server_track& track = s.track(leaving);
-  return !track.silent &&
+  return !track.unresponsive &&
          now - track.leaving_since < this->options.leaving_member_grace;
 }
 
@@ -112,7 +112,7 @@
     this->stopped_groups.insert(group.name);
     return;
   }
-  if (head_known && !s.track(head).silent) {
+  if (head_known && !s.track(head).unresponsive) {
     this->dissolve_through_head(s, group, since->second, now, out);
     return;
   }
@@ -132,12 +132,12 @@
   // Streams can only end properly if all members answer.
   const bool all_answer = std::all_of(
       group.members.begin(), group.members.end(), [&](const auto& id) {
-        return !id.empty() && s.has_server(id) && !s.track(id).silent;
+        return !id.empty() && s.has_server(id) && !s.track(id).unresponsive;
       });
-  const absl::Duration wait = this->reassigned_groups.count(group.name) != 0
-                                  ? this->options.reassign_drain_timeout
-                                  : this->options.drain_timeout;
-  if (all_answer && has_running_requests(phase) && now - since < wait) {
+  const absl::Duration timeout = this->reassigned_groups.count(group.name) != 0
+                                     ? this->options.reassign_drain_timeout
+                                     : this->options.drain_timeout;
+  if (all_answer && has_running_requests(phase) && now - since < timeout) {
     if (phase == member_phase::closing) return;
     const group_order close =
         make_group_order(group_order_kind::close, group.name, group.epoch);
@@ -158,7 +158,7 @@
       make_group_order(group_order_kind::leave, group.name, group.epoch);
   for (size_t rank = 1; rank < group.members.size(); ++rank) {
     const std::string& id = group.members[rank];
-    if (id.empty() || !s.has_server(id) || s.track(id).silent) continue;
+    if (id.empty() || !s.has_server(id) || s.track(id).unresponsive) continue;
     this->send(s.entry(id), leave, out);
   }
 }
@@ -167,11 +167,12 @@
                                                group_actions& out) {
   const auto planned = this->planned_models();
   for (const auto& [id, server] : s.servers) {
-    const group_membership& said = server.entry.membership;
-    if (said.phase == member_phase::none || planned.count(id) != 0) continue;
+    const group_membership& membership = server.entry.membership;
+    if (membership.phase == member_phase::none || planned.count(id) != 0)
+      continue;
     if (!this->free_to_join(s, server.entry)) continue;
-    const group_order leave =
-        make_group_order(group_order_kind::leave, said.group, said.epoch);
+    const group_order leave = make_group_order(
+        group_order_kind::leave, membership.group, membership.epoch);
     this->send(server.entry, leave, out);
   }
 }
--- a/src/group-spares.cc
+++ b/src/group-spares.cc
@@ -22,16 +22,16 @@
     if (this->dissolving.count(group.name) != 0) continue;
     if (this->warmups.count(group.name) != 0) continue;
     if (this->in_closed_hall(s, group)) continue;
-    const auto others = std::count_if(
+    const auto without_weights = std::count_if(
         group.members.begin(), group.members.end(), [&](const auto& id) {
           return s.has_server(id) && !staged_on(s.entry(id), model);
         });
-    ranked.emplace_back(others, group.epoch, group.name);
+    ranked.emplace_back(without_weights, group.epoch, group.name);
   }
   std::sort(ranked.rbegin(), ranked.rend());
   std::vector<std::string> out;
   out.reserve(ranked.size());
-  for (const auto& [others, epoch, name] : ranked) out.push_back(name);
+  for (const auto& [without_weights, epoch, name] : ranked) out.push_back(name);
   return out;
 }
 
@@ -43,10 +43,10 @@
     const auto count = s.group_count.find(model.name);
     if (count == s.group_count.end()) continue;
     const int wanted = static_cast<int>(this->wanted_groups(s, model));
-    const auto beyond =
+    const auto surplus =
         static_cast<size_t>(std::max(0, count->second - wanted));
     std::vector<std::string> names = this->groups_by_repair_value(s, model);
-    if (names.size() > beyond) names.resize(beyond);
+    if (names.size() > surplus) names.resize(surplus);
     out.insert(names.begin(), names.end());
   }
   return out;
@@ -69,15 +69,15 @@
 group_controller::dissolvable_groups group_controller::find_dissolvable_groups(
     const service_state& s, const model_profile& model) const {
   dissolvable_groups out{s.spare_groups};
-  const model_group_counts taker = this->group_counts_of(s, model);
+  const model_group_counts recipient = this->group_counts_of(s, model);
   for (const auto& other : s.engine->models) {
     // A larger group is worth more than the smaller one it would repair.
     if (other.group_size >= model.group_size) continue;
-    const model_group_counts giver = this->group_counts_of(s, other);
+    const model_group_counts donor = this->group_counts_of(s, other);
     const int needed = (model.group_size - 1) / other.group_size + 1;
     int count = 0;
     while (this->yielding_enabled() && count < needed &&
-           may_yield(giver, taker, count + 1)) {
+           may_yield(donor, recipient, count + 1)) {
       ++count;
     }
     if (count == 0) continue;
@@ -91,26 +91,26 @@
 group_controller::hosts_by_domain group_controller::reclaimable_hosts(
     const service_state& s, const model_profile& model,
     const hosts_by_domain& free, const std::set<std::string>& to_end) const {
-  hosts_by_domain reach = free;
-  const auto add = [&](bool on_their_way_out) {
+  hosts_by_domain hosts = free;
+  const auto add_hosts = [&](bool ending) {
     for (const auto& group : s.groups) {
       if (std::cmp_greater(group.members.size(), model.group_size)) continue;
       if (this->stopped_groups.count(group.name) != 0) continue;
-      const bool out = this->dissolving.count(group.name) != 0;
-      if (out != on_their_way_out) continue;
-      if (!out && to_end.count(group.name) == 0) continue;
+      const bool is_ending = this->dissolving.count(group.name) != 0;
+      if (is_ending != ending) continue;
+      if (!is_ending && to_end.count(group.name) == 0) continue;
       for (const auto& id : group.members) {
         if (id.empty() || !s.has_server(id) || !this->may_join(s.entry(id)))
           continue;
-        reach[s.entry(id).domain].push_back(id);
+        hosts[s.entry(id).domain].push_back(id);
       }
     }
   };
   // Groups that are being dissolved come first, so that each step selects the
   // same hosts until they are free.
-  add(true);
-  add(false);
-  return reach;
+  add_hosts(true);
+  add_hosts(false);
+  return hosts;
 }
 
 bool group_controller::reclaim_spares(service_state& s,
@@ -119,30 +119,30 @@
                                       group_actions& out) {
   if (!this->options.spares_serve) return false;
   const dissolvable_groups endable = this->find_dissolvable_groups(s, model);
-  const auto reach = this->reclaimable_hosts(s, model, free, endable.names);
-  const auto best = this->best_candidate(s, model, reach, now);
+  const auto hosts = this->reclaimable_hosts(s, model, free, endable.names);
+  const auto best = this->best_candidate(s, model, hosts, now);
   if (!best || best->loads > 0) return false;
-  std::set<std::string> ended;
+  std::set<std::string> to_dissolve;
   for (const auto& id : best->members) {
     const std::string& group = s.entry(id).membership.group;
     const bool remains = this->remains(group);
-    if (remains && endable.names.count(group) != 0) ended.insert(group);
+    if (remains && endable.names.count(group) != 0) to_dissolve.insert(group);
   }
-  const auto serving = std::count_if(
-      ended.begin(), ended.end(),
+  const auto wanted_count = std::count_if(
+      to_dissolve.begin(), to_dissolve.end(),
       [&](const auto& name) { return s.spare_groups.count(name) == 0; });
-  if (serving > endable.beyond_spares) return false;
+  if (wanted_count > endable.beyond_spares) return false;
   for (const auto& group : s.groups) {
-    if (ended.count(group.name) == 0) continue;
+    if (to_dissolve.count(group.name) == 0) continue;
     s.spare_groups.erase(group.name);
     s.group_count[group.model]--;
     this->dissolve(s, group, "hosts needed to repair a group of " + model.name,
                    now, out);
   }
-  auto& left = free[best->domain];
+  auto& free_in_domain = free[best->domain];
   for (const auto& id : best->members) {
     s.reserved.insert(id);
-    std::erase(left, id);
+    std::erase(free_in_domain, id);
   }
   return true;
 }
--- a/src/group-staging.cc
+++ b/src/group-staging.cc
@@ -109,16 +109,16 @@
   this->inherited.reset();
   // There was no holder before the first one.
   if (this->fence <= 1) return;
-  const absl::Duration unheard =
+  const absl::Duration unreported_time =
       std::min(now - before.as_of, this->options.load_window);
-  if (unheard < absl::ZeroDuration()) return;
+  if (unreported_time < absl::ZeroDuration()) return;
   // Until it lost the lease, a previous holder may have continued at the full
   // rate without this node receiving its reports.
-  const double most = engine.loads_per_s * this->options.load_excess;
-  const int since =
-      static_cast<int>(std::ceil(most * absl::ToDoubleSeconds(unheard)));
-  const bool recent = unheard < this->options.load_window;
-  const int count = since + (recent ? before.count : 0);
+  const double max_rate = engine.loads_per_s * this->options.load_excess;
+  const int unreported_loads = static_cast<int>(
+      std::ceil(max_rate * absl::ToDoubleSeconds(unreported_time)));
+  const bool recent = unreported_time < this->options.load_window;
+  const int count = unreported_loads + (recent ? before.count : 0);
   this->loads.insert(this->loads.begin(), static_cast<size_t>(count), now);
 }
 
@@ -166,22 +166,22 @@
 
 std::map<std::string, group_controller::domain_weights>
 group_controller::weights_by_domain(const service_state& s, absl::Time now,
-                                    std::vector<std::string>& bare) const {
+                                    std::vector<std::string>& unstaged) const {
   std::map<std::string, domain_weights> domains;
   const auto planned = this->planned_models();
   for (const auto& [id, server] : s.servers) {
     const server_entry& entry = server.entry;
     const server_track& track = s.track(id);
-    if (entry.draining || track.silent) continue;
+    if (entry.draining || track.unresponsive) continue;
     if (this->in_closed_hall(entry)) continue;
     domain_weights& weights = domains[entry.domain];
-    const group_membership& said = entry.membership;
-    if (s.spare_groups.count(said.group) != 0) {
+    const group_membership& membership = entry.membership;
+    if (s.spare_groups.count(membership.group) != 0) {
       count_serving_spare(entry, track.staging_until > now, track.staging_model,
                           weights);
-    } else if (said.phase != member_phase::none &&
-               this->stopped_groups.count(said.group) == 0 &&
-               this->warmups.count(said.group) == 0) {
+    } else if (membership.phase != member_phase::none &&
+               this->stopped_groups.count(membership.group) == 0 &&
+               this->warmups.count(membership.group) == 0) {
       this->count_member(entry, track, now, weights);
     } else if (const auto plan = planned.find(id); plan != planned.end()) {
       weights.members[std::string(plan->second)]++;
@@ -190,7 +190,7 @@
     } else {
       for (const auto& staged : entry.staged) weights.spares[staged]++;
       if (!this->free_to_join(s, entry)) continue;
-      if (entry.staged.empty()) bare.push_back(id);
+      if (entry.staged.empty()) unstaged.push_back(id);
       for (const auto& staged : entry.staged)
         weights.weight_holders[id] = staged;
     }
@@ -234,9 +234,9 @@
 
 void group_controller::stage_spares(const service_state& s, bool requests_seen,
                                     absl::Time now, group_actions& out) {
-  std::vector<std::string> bare;
-  auto domains = this->weights_by_domain(s, now, bare);
-  for (const auto& id : bare) {
+  std::vector<std::string> unstaged;
+  auto domains = this->weights_by_domain(s, now, unstaged);
+  for (const auto& id : unstaged) {
     domain_weights& weights = domains[s.entry(id).domain];
     // Before the first request a load is quick: a spare joins a group first and
     // is then staged for repairs.
@@ -259,13 +259,14 @@
                                      domain_weights& weights, absl::Time now,
                                      group_actions& out) {
   if (!this->yielding_enabled()) return;
-  const model_profile* small = smallest_model(*s.engine);
+  const model_profile* smallest = smallest_model(*s.engine);
   for (const auto& model : s.engine->models) {
-    if (small == nullptr || model.group_size <= small->group_size) continue;
-    auto enough = static_cast<int>(yield_spare_ratio * model.group_size);
-    for (const auto& [id, held] : weights.serving) {
-      if (weights.spares[model.name] >= enough) break;
-      if (held != small->name) continue;
+    if (smallest == nullptr || model.group_size <= smallest->group_size)
+      continue;
+    auto target = static_cast<int>(yield_spare_ratio * model.group_size);
+    for (const auto& [id, staged_model] : weights.serving) {
+      if (weights.spares[model.name] >= target) break;
+      if (staged_model != smallest->name) continue;
       if (!this->stage(s, id, model, false, now, out)) continue;
       weights.spares[model.name]++;
     }
@@ -275,19 +276,20 @@
 void group_controller::restage_spare(const service_state& s,
                                      domain_weights& weights, absl::Time now,
                                      group_actions& out) {
-  const model_profile* wanted = model_to_stage(*s.engine, weights);
-  if (wanted == nullptr) return;
-  const double need = spare_need(*wanted, weights, 0);
-  for (const auto& [id, held] : weights.weight_holders) {
+  const model_profile* target = model_to_stage(*s.engine, weights);
+  if (target == nullptr) return;
+  const double need = spare_need(*target, weights, 0);
+  for (const auto& [id, staged_model] : weights.weight_holders) {
     // Weights that a group about to form needs are kept.
     if (this->options.follow_demand && s.reserved.count(id) != 0) continue;
-    const model_profile* model = find_model(*s.engine, held);
-    if (model == wanted) continue;
-    const bool spared = model == nullptr || weights.rejoining.count(id) != 0 ||
-                        need > restage_factor * spare_need(*model, weights, 1);
-    if (!spared) continue;
+    const model_profile* model = find_model(*s.engine, staged_model);
+    if (model == target) continue;
+    const bool may_restage =
+        model == nullptr || weights.rejoining.count(id) != 0 ||
+        need > restage_factor * spare_need(*model, weights, 1);
+    if (!may_restage) continue;
     // One at a time, so that the next step sees the effect of this one.
-    if (this->stage(s, id, *wanted, true, now, out)) return;
+    if (this->stage(s, id, *target, true, now, out)) return;
   }
 }
 
--- a/src/group-yield.cc
+++ b/src/group-yield.cc
@@ -3,13 +3,14 @@
 
 namespace spokesail {
 
-bool may_yield(const model_group_counts& giver, const model_group_counts& taker,
-               int count) {
-  const int left = giver.groups - count;
-  if (left >= giver.wanted) return true;
-  const double giver_fill = left / giver.wanted;
-  const double taker_fill = taker.groups / taker.wanted;
-  return taker_fill <= scarce_fill_ratio && giver_fill >= donor_min_fill_ratio;
+bool may_yield(const model_group_counts& donor,
+               const model_group_counts& recipient, int count) {
+  const int left = donor.groups - count;
+  if (left >= donor.wanted) return true;
+  const double donor_fill = left / donor.wanted;
+  const double recipient_fill = recipient.groups / recipient.wanted;
+  return recipient_fill <= scarce_fill_ratio &&
+         donor_fill >= donor_min_fill_ratio;
 }
 
 }  // namespace spokesail
--- a/src/model-shares.cc
+++ b/src/model-shares.cc
@@ -72,11 +72,11 @@
   const int most = std::min(room.halls, min_groups);
   for (int count = 1; count <= most; ++count) {
     for (const auto* model : by_size(engine)) {
-      const bool kept = model->share > 0 || value_of(need, model->name) > 0;
-      if (!kept) continue;
-      count_by_model more = out;
-      more[model->name]++;
-      if (groups_fit(engine, more, room)) out = more;
+      const bool needed = model->share > 0 || value_of(need, model->name) > 0;
+      if (!needed) continue;
+      count_by_model with_one_more = out;
+      with_one_more[model->name]++;
+      if (groups_fit(engine, with_one_more, room)) out = with_one_more;
     }
   }
   return out;
@@ -117,26 +117,26 @@
 
 double needed_groups(const engine_profile& engine, const model_profile& model,
                      const model_demand& demand) {
-  const double fresh =
+  const double new_requests =
       std::max(0.0, demand.requests - refused_weight * demand.refused);
   if (demand.requests <= 0) return 0;
-  const double part = fresh / demand.requests;
+  const double new_fraction = new_requests / demand.requests;
   const double slots = std::max(1, engine.slots);
   const request_size mean = {demand.prompt_tokens / demand.requests,
                              demand.answer_tokens / demand.requests};
-  const double step = step_ms(engine, slots, mean);
+  const double decode_step_ms = step_ms(engine, slots, mean);
   const double ms = demand.prompt_tokens / engine.prefill_tokens_per_ms +
-                    demand.answer_tokens * step / slots;
-  return part * model.pace * ms / 1000;
+                    demand.answer_tokens * decode_step_ms / slots;
+  return new_fraction * model.pace * ms / 1000;
 }
 
 double predicted_slowdown(double need, int groups) {
   if (need <= 0) return 1;
   // Without any group, waits are longer than with one.
-  const double use = groups > 0 ? need / groups : 1 + need;
-  if (use <= linear_from_use) return 1 / (1 - use);
+  const double utilization = groups > 0 ? need / groups : 1 + need;
+  if (utilization <= linear_from_use) return 1 / (1 - utilization);
   const double rest = 1 - linear_from_use;
-  return 1 / rest + (use - linear_from_use) / (rest * rest);
+  return 1 / rest + (utilization - linear_from_use) / (rest * rest);
 }
 
 bool groups_fit(const engine_profile& engine, const count_by_model& counts,
@@ -177,14 +177,15 @@
     count_by_model best;
     double best_gain = 0;
     for (const auto& model : engine.models) {
-      count_by_model more = counts;
-      const int groups = more[model.name]++;
-      const double asked = value_of(need, model.name);
-      const double gain = (model_cost(model, asked, groups) -
-                           model_cost(model, asked, groups + 1)) /
+      count_by_model with_one_more = counts;
+      const int groups = with_one_more[model.name]++;
+      const double model_need = value_of(need, model.name);
+      const double gain = (model_cost(model, model_need, groups) -
+                           model_cost(model, model_need, groups + 1)) /
                           model.group_size;
-      if (gain <= best_gain || !groups_fit(engine, more, room)) continue;
-      best = more;
+      if (gain <= best_gain || !groups_fit(engine, with_one_more, room))
+        continue;
+      best = with_one_more;
       best_gain = gain;
     }
     if (best.empty()) return counts;
@@ -199,7 +200,8 @@
 
 size_t model_shares::first_sample_since(absl::Time from) const {
   size_t first = 0;
-  while (first + 1 < this->seen.size() && this->seen[first + 1].at <= from) {
+  while (first + 1 < this->samples.size() &&
+         this->samples[first + 1].at <= from) {
     ++first;
   }
   return first;
@@ -207,10 +209,10 @@
 
 need_by_model model_shares::mean_need_from(size_t first) const {
   need_by_model out;
-  for (size_t i = first; i < this->seen.size(); ++i) {
-    for (const auto& [model, need] : this->seen[i].need) out[model] += need;
+  for (size_t i = first; i < this->samples.size(); ++i) {
+    for (const auto& [model, need] : this->samples[i].need) out[model] += need;
   }
-  const auto count = static_cast<double>(this->seen.size() - first);
+  const auto count = static_cast<double>(this->samples.size() - first);
   for (auto& [model, need] : out) need /= count;
   return out;
 }
@@ -220,8 +222,8 @@
   double all_before = 0;
   double all_after = 0;
   change.min_gain = std::numeric_limits<double>::infinity();
-  for (size_t i = first; i < this->seen.size(); ++i) {
-    const need_by_model& need = this->seen[i].need;
+  for (size_t i = first; i < this->samples.size(); ++i) {
+    const need_by_model& need = this->samples[i].need;
     const double before = allocation_cost(engine, change.from, need);
     const double after = allocation_cost(engine, change.to, need);
     const double gain = before > 0 ? (before - after) / before : 0;
@@ -235,25 +237,26 @@
 std::optional<allocation_change> model_shares::find_change(
     const engine_profile& engine, const host_capacity& room,
     const count_by_model& wanted, absl::Duration load, absl::Time now) const {
-  const absl::Duration evidence = this->rules.wait_for_loads
-                                      ? load + this->rules.evidence_margin
-                                      : absl::ZeroDuration();
-  const absl::Time since = now - evidence;
-  if (this->seen.front().at > since) return std::nullopt;
+  const absl::Duration required_time = this->rules.wait_for_loads
+                                           ? load + this->rules.evidence_margin
+                                           : absl::ZeroDuration();
+  const absl::Time since = now - required_time;
+  if (this->samples.front().at > since) return std::nullopt;
   const size_t first = this->first_sample_since(since);
   const need_by_model need = this->mean_need_from(first);
   allocation_change out{wanted, allocate_hosts(engine, room, need), need, 0,
-                        0,      now - this->seen[first].at};
+                        0,      now - this->samples[first].at};
   if (out.to == wanted) return std::nullopt;
   if (longest_load(engine, wanted, out.to) > load) return std::nullopt;
   this->evaluate(engine, first, out);
-  const double each = this->rules.min_gain * this->rules.min_sample_gain_ratio;
-  if (out.gain < this->rules.min_gain || out.min_gain < each) {
+  const double min_sample_gain =
+      this->rules.min_gain * this->rules.min_sample_gain_ratio;
+  if (out.gain < this->rules.min_gain || out.min_gain < min_sample_gain) {
     return std::nullopt;
   }
   const double lost = moved_fraction(engine, wanted, out.to) *
                       absl::ToDoubleSeconds(switch_downtime);
-  const double gained = out.gain * absl::ToDoubleSeconds(out.seen);
+  const double gained = out.gain * absl::ToDoubleSeconds(out.observed);
   if (this->rules.wait_for_loads && gained <= lost) return std::nullopt;
   return out;
 }
@@ -261,13 +264,13 @@
 std::optional<allocation_change> model_shares::add_sample(
     const engine_profile& engine, const host_capacity& room,
     const count_by_model& wanted, const need_by_model& need, absl::Time now) {
-  this->seen.push_back({now, need});
+  this->samples.push_back({now, need});
   std::set<absl::Duration> loads;
   for (const auto& model : engine.models) loads.insert(model.cold_load);
   if (loads.empty()) return std::nullopt;
   const absl::Time oldest = now - *loads.rbegin() - this->rules.evidence_margin;
-  while (this->seen.size() > 1 && this->seen[1].at <= oldest) {
-    this->seen.pop_front();
+  while (this->samples.size() > 1 && this->samples[1].at <= oldest) {
+    this->samples.pop_front();
   }
   for (const absl::Duration load : loads) {
     auto change = this->find_change(engine, room, wanted, load, now);
@@ -279,19 +282,21 @@
 }
 
 void model_shares::sync_configured_shares(const engine_profile& engine) {
-  std::map<std::string, double> now_stated;
-  for (const auto& model : engine.models) now_stated[model.name] = model.share;
+  std::map<std::string, double> now_configured;
+  for (const auto& model : engine.models)
+    now_configured[model.name] = model.share;
   const bool same_models =
       this->shares.empty() ||
-      std::equal(this->shares.begin(), this->shares.end(), now_stated.begin(),
-                 now_stated.end(), [](const auto& a, const auto& b) {
-                   return a.first == b.first;
-                 });
-  const bool same = this->configured.empty() || this->configured == now_stated;
-  this->configured = now_stated;
+      std::equal(
+          this->shares.begin(), this->shares.end(), now_configured.begin(),
+          now_configured.end(),
+          [](const auto& a, const auto& b) { return a.first == b.first; });
+  const bool same =
+      this->configured.empty() || this->configured == now_configured;
+  this->configured = now_configured;
   if (same && same_models) return;
   this->shares.clear();
-  this->seen.clear();
+  this->samples.clear();
 }
 
 void model_shares::apply_allocation(const engine_profile& engine,
@@ -304,7 +309,7 @@
     const int groups = count == counts.end() ? 0 : count->second;
     this->shares[model.name] = groups * model.group_size / hosts;
   }
-  this->seen.clear();
+  this->samples.clear();
 }
 
 }  // namespace spokesail
--- a/test/group-controller-test.cc
+++ b/test/group-controller-test.cc
@@ -29,9 +29,9 @@
   return {"lm", 100, 0, engine};
 }
 
-fleet_run hall_of_domains(uint64_t seed,
-                          const group_controller_options& options = {},
-                          int domains = 6, int hosts = 8) {
+fleet_run make_fleet(uint64_t seed,
+                     const group_controller_options& options = {},
+                     int domains = 6, int hosts = 8) {
   return {engine_service(), seed, options, domains, hosts};
 }
 
@@ -43,9 +43,9 @@
 }
 
 /// A fleet whose groups serve, with requests.
-fleet_run standing_fleet(uint64_t seed,
-                         const group_controller_options& options = {}) {
-  fleet_run run = hall_of_domains(seed, options);
+fleet_run serving_fleet(uint64_t seed,
+                        const group_controller_options& options = {}) {
+  fleet_run run = make_fleet(seed, options);
   run.run_for(absl::Seconds(30));
   run.requests_seen = true;
   return run;
@@ -54,22 +54,23 @@
 std::string member_of(const fleet_run& run, const std::string& model,
                       int rank) {
   for (const auto& [id, server] : run.fleet.directory().servers()) {
-    const auto& said = server.entry.membership;
-    if (said.phase == member_phase::none || said.rank != rank) continue;
-    if (group_model(said.group) == model) return id;
+    const auto& membership = server.entry.membership;
+    if (membership.phase == member_phase::none || membership.rank != rank)
+      continue;
+    if (group_model(membership.group) == model) return id;
   }
   return "";
 }
 
 TEST(group_controller, forms_groups_by_share_and_keeps_spares) {
-  const fleet_run run = standing_fleet(1, idle_spares());
+  const fleet_run run = serving_fleet(1, idle_spares());
   EXPECT_EQ(run.fleet.serving("large"), 6);
   EXPECT_EQ(run.fleet.serving("small"), 6);
   EXPECT_TRUE(run.fleet.breaches().empty());
 }
 
 TEST(group_controller, lets_spares_serve_and_stages_them_for_repairs) {
-  const fleet_run run = standing_fleet(1);
+  const fleet_run run = serving_fleet(1);
   EXPECT_EQ(run.fleet.serving("large"), 6);
   EXPECT_EQ(run.fleet.serving("small"), 12);
   // Two hosts of each domain serve one model and hold the other's weights.
@@ -84,7 +85,7 @@
 }
 
 TEST(group_controller, reclaims_a_serving_spare_for_a_repair) {
-  fleet_run run = standing_fleet(2);
+  fleet_run run = serving_fleet(2);
   const std::string lost = member_of(run, "large", 2);
   run.fleet.kill(lost, run.now);
   run.report_suspect(lost);
@@ -98,7 +99,7 @@
   group_controller_options options;
   // With this share few groups are wanted, so that most count as spares.
   options.spare_share = 0.6;
-  fleet_run run = standing_fleet(3, options);
+  fleet_run run = serving_fleet(3, options);
   const int large = run.fleet.serving("large");
   for (int i = 0; i < 6; ++i) {
     const std::string lost = member_of(run, "small", 1);
@@ -114,15 +115,16 @@
 std::set<std::string> groups_in(const fleet_run& run, const std::string& hall) {
   std::set<std::string> out;
   for (const auto& [id, server] : run.fleet.directory().servers()) {
-    const auto& said = server.entry.membership;
-    if (server.entry.hall != hall || said.phase == member_phase::none) continue;
-    out.insert(said.group);
+    const auto& membership = server.entry.membership;
+    if (server.entry.hall != hall || membership.phase == member_phase::none)
+      continue;
+    out.insert(membership.group);
   }
   return out;
 }
 
 TEST(group_controller, forms_no_group_in_a_closed_hall) {
-  fleet_run run = hall_of_domains(1);
+  fleet_run run = make_fleet(1);
   run.controller.set_closed_halls({"h0"});
   run.run_for(absl::Seconds(30));
   EXPECT_TRUE(groups_in(run, "h0").empty());
@@ -137,7 +139,7 @@
 }
 
 TEST(group_controller, keeps_the_groups_of_a_closed_hall) {
-  fleet_run run = standing_fleet(1);
+  fleet_run run = serving_fleet(1);
   const auto before = groups_in(run, "h0");
   const auto others = groups_in(run, "h1");
   run.controller.set_closed_halls({"h0"});
@@ -151,25 +153,25 @@
 
 TEST(group_controller,
      dissolves_a_broken_group_of_a_closed_hall_and_forms_none) {
-  fleet_run run = standing_fleet(1, idle_spares());
+  fleet_run run = serving_fleet(1, idle_spares());
   const auto before = groups_in(run, "h0");
   std::string lost;
   for (const auto& [id, server] : run.fleet.directory().servers()) {
-    const auto& said = server.entry.membership;
-    if (server.entry.hall != "h0" || said.rank != 1) continue;
-    if (said.phase != member_phase::none) lost = id;
+    const auto& membership = server.entry.membership;
+    if (server.entry.hall != "h0" || membership.rank != 1) continue;
+    if (membership.phase != member_phase::none) lost = id;
   }
   const std::string group = run.fleet.directory().find(lost)->membership.group;
   run.controller.set_closed_halls({"h0"});
   run.fleet.set_dark(lost, true);
   run.report_suspect(lost);
   run.run_for(absl::Seconds(10));
-  auto left = before;
-  left.erase(group);
-  auto standing = groups_in(run, "h0");
+  auto expected = before;
+  expected.erase(group);
+  auto actual = groups_in(run, "h0");
   // A server that does not answer cannot be ordered to leave.
-  standing.erase(group);
-  EXPECT_EQ(standing, left);
+  actual.erase(group);
+  EXPECT_EQ(actual, expected);
   for (const auto& [id, server] : run.fleet.directory().servers()) {
     if (id == lost) continue;
     EXPECT_NE(server.entry.membership.group, group);
@@ -177,23 +179,23 @@
 }
 
 TEST(group_controller, abandons_a_group_whose_hall_closes_while_it_forms) {
-  fleet_run run = hall_of_domains(1);
+  fleet_run run = make_fleet(1);
   while (groups_in(run, "h0").empty()) run.step();
   run.controller.set_closed_halls({"h0"});
-  const auto begun = groups_in(run, "h0");
+  const auto forming = groups_in(run, "h0");
   run.run_for(absl::Seconds(30));
   for (const auto& group : groups_in(run, "h0")) {
-    EXPECT_TRUE(begun.count(group) != 0) << group;
+    EXPECT_TRUE(forming.count(group) != 0) << group;
   }
   EXPECT_TRUE(run.fleet.breaches().empty());
 }
 
 TEST(group_controller, spreads_groups_over_domains) {
-  const fleet_run run = standing_fleet(1);
+  const fleet_run run = serving_fleet(1);
   std::map<std::string, int> large;
   for (const auto& [id, server] : run.fleet.directory().servers()) {
-    const auto& said = server.entry.membership;
-    if (said.rank == 0 && group_model(said.group) == "large") {
+    const auto& membership = server.entry.membership;
+    if (membership.rank == 0 && group_model(membership.group) == "large") {
       large[server.entry.domain]++;
     }
   }
@@ -201,7 +203,7 @@
 }
 
 TEST(group_controller, repairs_with_a_staged_spare_once_a_member_is_lost) {
-  fleet_run run = standing_fleet(2, idle_spares());
+  fleet_run run = serving_fleet(2, idle_spares());
   const std::string lost = member_of(run, "large", 2);
   run.fleet.kill(lost, run.now);
   run.report_suspect(lost);
@@ -214,7 +216,7 @@
 /// group. The controller may learn this first from its entry or its report.
 TEST(group_controller, replaces_a_member_that_restarts_under_the_same_id) {
   for (const bool noticed : {false, true}) {
-    fleet_run run = standing_fleet(2, idle_spares());
+    fleet_run run = serving_fleet(2, idle_spares());
     const std::string id = member_of(run, "large", 2);
     const std::string group = run.fleet.directory().find(id)->membership.group;
     run.fleet.restart(id, run.now);
@@ -223,8 +225,9 @@
     EXPECT_EQ(run.fleet.serving("large"), 6);
     EXPECT_TRUE(run.fleet.breaches().empty());
     for (const auto& [name, server] : run.fleet.directory().servers()) {
-      const group_membership& said = server.entry.membership;
-      EXPECT_FALSE(said.group == group && said.phase == member_phase::open);
+      const group_membership& membership = server.entry.membership;
+      EXPECT_FALSE(membership.group == group &&
+                   membership.phase == member_phase::open);
     }
     // It accepts orders again, by its new count.
     const std::string other = member_of(run, "large", 1);
@@ -238,13 +241,13 @@
 /// A report that was sent before the server restarted arrives after it.
 TEST(group_controller, ignores_a_report_of_an_earlier_incarnation) {
   constexpr int64_t earlier_orders = 77;
-  fleet_run run = standing_fleet(3, idle_spares());
+  fleet_run run = serving_fleet(3, idle_spares());
   const std::string id = member_of(run, "large", 2);
-  server_report late = *run.fleet.report(id);
-  late.orders_started = earlier_orders;
+  server_report stale_report = *run.fleet.report(id);
+  stale_report.orders_started = earlier_orders;
   run.fleet.restart(id, run.now);
   run.run_for(absl::Milliseconds(80));
-  run.controller.on_report(id, late, run.now);
+  run.controller.on_report(id, stale_report, run.now);
   const absl::Time until = run.now + absl::Seconds(6);
   while (run.now < until) {
     run.step();
@@ -262,10 +265,11 @@
 TEST(group_controller, limits_pending_orders_in_a_large_fleet) {
   constexpr int domains = 25;
   constexpr int hosts = 37;
-  fleet_run run = hall_of_domains(11, {}, domains, hosts);
+  fleet_run run = make_fleet(11, {}, domains, hosts);
   run.step();
   run.run_for(absl::Seconds(25));
-  EXPECT_LE(run.max_orders_per_step, static_cast<size_t>(window_limits{}.most));
+  EXPECT_LE(run.max_orders_per_step,
+            static_cast<size_t>(window_limits{}.max_size));
   EXPECT_GE(4 * run.fleet.serving("large") + 2 * run.fleet.serving("small"),
             domains * (hosts - 6));
   EXPECT_TRUE(run.fleet.breaches().empty());
@@ -273,7 +277,7 @@
 
 /// A hall that loses hosts: each loss is repaired by a spare.
 TEST(group_controller, repairs_within_a_second_with_a_warm_spare) {
-  fleet_run run = standing_fleet(2, idle_spares());
+  fleet_run run = serving_fleet(2, idle_spares());
   run.run_for(absl::Seconds(6));
   const std::string lost = member_of(run, "large", 2);
   run.fleet.kill(lost, run.now);
@@ -284,19 +288,19 @@
 }
 
 TEST(group_controller, hosts_leave_their_group_after_the_warm_up) {
-  fleet_run run = standing_fleet(3, idle_spares());
+  fleet_run run = serving_fleet(3, idle_spares());
   run.run_for(absl::Seconds(10));
   // Each host has left the group that it joined to warm up.
   for (const auto& [id, server] : run.fleet.directory().servers()) {
-    const group_membership& said = server.entry.membership;
-    if (said.phase == member_phase::none) continue;
+    const group_membership& membership = server.entry.membership;
+    if (membership.phase == member_phase::none) continue;
     EXPECT_TRUE(run.fleet.group_in_place(id)) << id;
   }
   EXPECT_TRUE(run.fleet.breaches().empty());
 }
 
 TEST(group_controller, frees_the_members_of_an_unreachable_head) {
-  fleet_run run = standing_fleet(3, idle_spares());
+  fleet_run run = serving_fleet(3, idle_spares());
   const std::string head = member_of(run, "large", 0);
   // The head is unreachable but alive: it may serve callers on the other side
   // of the partition.
@@ -308,7 +312,7 @@
 }
 
 TEST(group_controller, a_new_holder_does_not_reuse_hosts_whose_head_may_serve) {
-  fleet_run run = standing_fleet(4);
+  fleet_run run = serving_fleet(4);
   const std::string head = member_of(run, "large", 0);
   run.fleet.set_dark(head, true);
   run.report_suspect(head);
@@ -325,7 +329,7 @@
 }
 
 TEST(group_controller, replaces_a_group_with_a_leaving_host) {
-  fleet_run run = standing_fleet(5, idle_spares());
+  fleet_run run = serving_fleet(5, idle_spares());
   const std::string leaving = member_of(run, "small", 1);
   run.fleet.drain(leaving, run.now);
   run.run_for(absl::Seconds(6));
@@ -340,13 +344,14 @@
 TEST(group_controller, groups_keep_serving_while_a_member_is_about_to_leave) {
   group_controller_options options = idle_spares();
   options.leaving_member_grace = absl::Milliseconds(2000);
-  fleet_run run = standing_fleet(5, options);
+  fleet_run run = serving_fleet(5, options);
   std::set<std::string> groups;
   for (const auto& [id, server] : run.fleet.directory().servers()) {
-    const group_membership& said = server.entry.membership;
-    const bool member = said.rank == 1 && said.phase != member_phase::none;
-    if (!member || group_model(said.group) != "small") continue;
-    if (groups.size() == 4 || !groups.insert(said.group).second) continue;
+    const group_membership& membership = server.entry.membership;
+    const bool member =
+        membership.rank == 1 && membership.phase != member_phase::none;
+    if (!member || group_model(membership.group) != "small") continue;
+    if (groups.size() == 4 || !groups.insert(membership.group).second) continue;
     run.fleet.drain(id, run.now);
   }
   ASSERT_EQ(groups.size(), 4U);
@@ -363,8 +368,8 @@
 }
 
 /// Groups that the servers of a domain, or all others, are in.
-std::set<std::string> group_names(const fleet_run& run,
-                                  const std::string& domain, bool in_domain) {
+std::set<std::string> groups_named(const fleet_run& run,
+                                   const std::string& domain, bool in_domain) {
   std::set<std::string> out;
   for (const auto& [id, server] : run.fleet.directory().servers()) {
     const server_entry& entry = server.entry;
@@ -376,30 +381,31 @@
 }
 
 TEST(group_controller, a_resumed_term_reuses_no_group_name) {
-  fleet_run run = standing_fleet(1);
+  fleet_run run = serving_fleet(1);
   // The lease lapsed for a while, and nobody else took it.
   run.controller.stop_term();
   run.controller.start_term(run.fence);
   run.requests_seen = false;
   const std::string added = "added";
   for (int i = 0; i < 8; ++i) run.fleet.add(added, run.now);
-  const std::set<std::string> earlier = group_names(run, added, false);
-  std::set<std::string> fresh;
+  const std::set<std::string> names_before = groups_named(run, added, false);
+  std::set<std::string> new_names;
   const absl::Time until = run.now + absl::Seconds(10);
   while (run.now < until) {
     run.step();
-    fresh.merge(group_names(run, added, true));
+    new_names.merge(groups_named(run, added, true));
   }
-  EXPECT_FALSE(fresh.empty());
-  for (const auto& name : fresh) EXPECT_EQ(earlier.count(name), 0U) << name;
+  EXPECT_FALSE(new_names.empty());
+  for (const auto& name : new_names)
+    EXPECT_EQ(names_before.count(name), 0U) << name;
 }
 
 TEST(group_controller, stages_hosts_for_the_model_that_lacks_groups) {
-  fleet_run run = standing_fleet(6, idle_spares());
-  const std::set<std::string> struck = {"d0", "d1", "d2"};
+  fleet_run run = serving_fleet(6, idle_spares());
+  const std::set<std::string> affected_domains = {"d0", "d1", "d2"};
   for (const auto& [id, server] : run.fleet.directory().servers()) {
     const server_entry& entry = server.entry;
-    if (struck.count(entry.domain) == 0) continue;
+    if (affected_domains.count(entry.domain) == 0) continue;
     if (entry.staged == std::vector<std::string>{"small"}) {
       run.fleet.kill(id, run.now);
     }
@@ -413,7 +419,7 @@
 
 /// A fleet whose holders change while many hosts have weights to load.
 fleet_run fleet_without_weights(uint64_t seed) {
-  fleet_run run = hall_of_domains(seed);
+  fleet_run run = make_fleet(seed);
   run.requests_seen = true;
   run.run_for(absl::Milliseconds(400));
   return run;
@@ -445,7 +451,7 @@
 }
 
 TEST(group_controller, steps_down_when_most_servers_are_silent) {
-  fleet_run run = standing_fleet(7);
+  fleet_run run = serving_fleet(7);
   int count = 0;
   for (const auto& id : run.fleet.living()) {
     if (++count > 20) break;
@@ -467,7 +473,7 @@
 }
 
 TEST(group_controller, does_not_step_down_when_one_of_three_halls_is_cut_off) {
-  fleet_run run = standing_fleet(7);
+  fleet_run run = serving_fleet(7);
   for (const auto& [id, server] : run.fleet.directory().servers()) {
     if (server.entry.hall != "h0") continue;
     run.fleet.set_dark(id, true);
@@ -482,11 +488,11 @@
     }
     EXPECT_FALSE(actions.step_down);
   }
-  EXPECT_EQ(run.controller.silent_servers().size(), 16U);
+  EXPECT_EQ(run.controller.unresponsive_servers().size(), 16U);
 }
 
 TEST(group_controller, a_new_holder_does_not_interrupt_a_load) {
-  fleet_run run = standing_fleet(9);
+  fleet_run run = serving_fleet(9);
   const std::string added = run.fleet.add("d0", run.now);
   run.run_for(absl::Seconds(2));
   const size_t loads = run.fleet.loads.size();
@@ -497,7 +503,7 @@
 }
 
 TEST(group_controller, keeps_loads_within_the_rate_limit) {
-  fleet_run run = standing_fleet(8);
+  fleet_run run = serving_fleet(8);
   const absl::Time since = run.now;
   for (int i = 0; i < 30; ++i) run.fleet.add(absl::StrCat("d", i % 6), run.now);
   run.run_for(absl::Seconds(20));
@@ -506,7 +512,7 @@
 }
 
 TEST(group_controller, forms_groups_of_two_services) {
-  const absl::Time began = absl::FromUnixSeconds(1000);
+  const absl::Time start = absl::FromUnixSeconds(1000);
   routing_config config;
   config.services = {engine_service(), engine_service()};
   config.services[1].name = "other";
@@ -522,7 +528,7 @@
   group_controller controller{group_controller_options{}};
   controller.start_term(1);
   std::set<std::string> ordered;
-  for (absl::Time now = began; now < began + absl::Seconds(2);
+  for (absl::Time now = start; now < start + absl::Seconds(2);
        now += step_time) {
     const auto actions = controller.step(directory, config, false, now);
     for (const auto& id : actions.report_requests) {
@@ -588,14 +594,14 @@
 }
 
 TEST(group_controller, stages_hosts_for_a_group_that_lacks_members) {
-  fleet_run run = standing_fleet(10, idle_spares());
+  fleet_run run = serving_fleet(10, idle_spares());
   // A second loss in one domain leaves the larger model without a spare there.
   const std::string domain = "d2";
   for (int lost = 0; lost < 2; ++lost) {
     for (const auto& [id, server] : run.fleet.directory().servers()) {
-      const auto& said = server.entry.membership;
-      if (server.entry.domain != domain || said.rank != 1) continue;
-      if (group_model(said.group) != "large") continue;
+      const auto& membership = server.entry.membership;
+      if (server.entry.domain != domain || membership.rank != 1) continue;
+      if (group_model(membership.group) != "large") continue;
       run.fleet.kill(id, run.now);
       run.report_suspect(id);
       break;
@@ -611,7 +617,7 @@
 }
 
 /// Injects one random fault.
-void strike(fleet_run& run) {
+void inject_fault(fleet_run& run) {
   const std::string id = run.random_server();
   switch (run.random.below(7)) {
     case 0:
@@ -652,10 +658,10 @@
 
 RC_GTEST_PROP(group_controller, breaks_no_rule_under_random_faults, ()) {
   const auto seed = *rc::gen::arbitrary<uint64_t>();
-  fleet_run run = standing_fleet(
+  fleet_run run = serving_fleet(
       seed, seed % 2 == 0 ? idle_spares() : group_controller_options());
   for (int i = 0; i < 20; ++i) {
-    strike(run);
+    inject_fault(run);
     run.run_for(absl::Milliseconds(100 + 40 * run.random.below(60)));
   }
   run.fleet.faults = {};
--- a/test/group-yield-test.cc
+++ b/test/group-yield-test.cc
@@ -45,30 +45,30 @@
 };
 
 /// A fleet from its start, and the faults injected once there are requests.
-class churned_fleet {
+class failing_fleet {
  public:
-  churned_fleet(uint64_t seed, const group_controller_options& options)
+  failing_fleet(uint64_t seed, const group_controller_options& options)
       : run(service_of_two_sizes(), seed, options, domains, hosts_of_domain) {
     // Loads are quick until there are requests.
     this->run.fleet.load_factor = 0.1;
     this->run.run_for(absl::Seconds(14));
     this->run.fleet.load_factor = 1;
     this->run.requests_seen = true;
-    this->began = this->run.now;
+    this->start = this->run.now;
   }
 
   double seconds() const {
-    return absl::ToDoubleSeconds(this->run.now - this->began);
+    return absl::ToDoubleSeconds(this->run.now - this->start);
   }
 
   /// Has two members of one group in a hall fail, which callers notice.
-  void lose_pair(int hall) {
+  void fail_pair(int hall) {
     std::map<std::string, std::vector<std::string>> groups;
     for (const auto& [id, server] : this->run.fleet.directory().servers()) {
       const server_entry& entry = server.entry;
       if (entry.hall != absl::StrCat("h", hall)) continue;
       if (entry.membership.phase == member_phase::none) continue;
-      if (this->lost.count(id) != 0) continue;
+      if (this->failed.count(id) != 0) continue;
       groups[entry.membership.group].push_back(id);
     }
     if (groups.empty()) return;
@@ -76,14 +76,14 @@
     std::advance(at,
                  static_cast<ptrdiff_t>(this->run.random.below(groups.size())));
     for (size_t i = 0; i < 2 && i < at->second.size(); ++i) {
-      this->lose(at->second[i]);
+      this->fail_host(at->second[i]);
     }
   }
 
-  void lose(const std::string& id) {
-    this->lost.insert(id);
+  void fail_host(const std::string& id) {
+    this->failed.insert(id);
     this->run.fleet.kill(id, this->run.now);
-    this->noticed.emplace(this->run.now + absl::Milliseconds(400), id);
+    this->pending_reports.emplace(this->run.now + absl::Milliseconds(400), id);
   }
 
   void add_pair(int hall) {
@@ -103,7 +103,7 @@
       const server_entry* entry = this->run.fleet.directory().find(id);
       if (entry == nullptr || entry->draining) continue;
       this->run.fleet.drain(id, this->run.now);
-      this->leaving.emplace(this->run.now + absl::Seconds(4), *entry);
+      this->pending_stops.emplace(this->run.now + absl::Seconds(4), *entry);
     }
   }
 
@@ -111,55 +111,55 @@
   void run_until(double second) {
     while (this->seconds() < second) {
       this->run.step();
-      this->carry_on();
+      this->process_due();
       const double step = absl::ToDoubleSeconds(test::step_time);
-      this->sum.large += step * this->run.fleet.serving("large");
-      this->sum.small += step * this->run.fleet.serving("small");
-      this->least_large =
-          std::min(this->least_large, this->run.fleet.serving("large"));
+      this->serving_seconds.large += step * this->run.fleet.serving("large");
+      this->serving_seconds.small += step * this->run.fleet.serving("small");
+      this->min_large =
+          std::min(this->min_large, this->run.fleet.serving("large"));
     }
   }
 
   mean_serving mean() const {
-    return {this->sum.large / this->seconds(),
-            this->sum.small / this->seconds()};
+    return {this->serving_seconds.large / this->seconds(),
+            this->serving_seconds.small / this->seconds()};
   }
 
   fleet_run run;
-  absl::Time began;
-  mean_serving sum;
-  int least_large = domains;
+  absl::Time start;
+  mean_serving serving_seconds;
+  int min_large = domains;
 
  private:
   /// Executes what is due: callers notice losses, leaving hosts stop.
-  void carry_on() {
-    while (!this->noticed.empty() &&
-           this->noticed.begin()->first <= this->run.now) {
-      this->run.report_suspect(this->noticed.begin()->second);
-      this->noticed.erase(this->noticed.begin());
+  void process_due() {
+    while (!this->pending_reports.empty() &&
+           this->pending_reports.begin()->first <= this->run.now) {
+      this->run.report_suspect(this->pending_reports.begin()->second);
+      this->pending_reports.erase(this->pending_reports.begin());
     }
-    while (!this->leaving.empty() &&
-           this->leaving.begin()->first <= this->run.now) {
-      const server_entry gone = this->leaving.begin()->second;
+    while (!this->pending_stops.empty() &&
+           this->pending_stops.begin()->first <= this->run.now) {
+      const server_entry gone = this->pending_stops.begin()->second;
       this->run.fleet.kill(gone.id, this->run.now);
       this->run.fleet.add(gone.domain, this->run.now, gone.address, gone.hall);
-      this->leaving.erase(this->leaving.begin());
+      this->pending_stops.erase(this->pending_stops.begin());
     }
   }
 
-  std::set<std::string> lost;
-  std::multimap<absl::Time, std::string> noticed;
-  std::multimap<absl::Time, server_entry> leaving;
+  std::set<std::string> failed;
+  std::multimap<absl::Time, std::string> pending_reports;
+  std::multimap<absl::Time, server_entry> pending_stops;
 };
 
 /// Two hosts of one group fail every three seconds, in one hall after the
 /// other; from second 12 on as many are added, without weights.
-void churn(churned_fleet& fleet, bool release) {
+void run_failures(failing_fleet& fleet, bool release) {
   constexpr double period = 3;
-  constexpr int strikes = 11;
+  constexpr int rounds = 11;
   int replaced = 0;
-  for (int strike = 1; strike <= strikes; ++strike) {
-    const double until = period * strike;
+  for (int round = 1; round <= rounds; ++round) {
+    const double until = period * round;
     while (fleet.seconds() < until) {
       fleet.run_until(std::min(until, fleet.seconds() + 1));
       if (release && fleet.seconds() > 20 && replaced < 57) {
@@ -167,31 +167,31 @@
         replaced += 9;
       }
     }
-    if (strike == 3) fleet.run.begin_term();
-    fleet.lose_pair(strike % halls);
-    if (until >= 12) fleet.add_pair((strike + 1) % halls);
+    if (round == 3) fleet.run.begin_term();
+    fleet.fail_pair(round % halls);
+    if (until >= 12) fleet.add_pair((round + 1) % halls);
   }
-  fleet.run_until(period * strikes + 4);
+  fleet.run_until(period * rounds + 4);
 }
 
 /// Results under one rule, averaged over some seeds.
 struct share_figures {
   mean_serving mean;
-  int least_large = domains;
+  int min_large = domains;
   size_t breaches = 0;
 };
 
-share_figures play(bool yields, bool release) {
+share_figures run_seeds(bool smaller_yield, bool release) {
   constexpr uint64_t seeds = 4;
   share_figures out;
   for (uint64_t seed = 1; seed <= seeds; ++seed) {
     group_controller_options options;
-    options.smaller_yield = yields;
-    churned_fleet fleet(seed, options);
-    churn(fleet, release);
+    options.smaller_yield = smaller_yield;
+    failing_fleet fleet(seed, options);
+    run_failures(fleet, release);
     out.mean.large += fleet.mean().large / seeds;
     out.mean.small += fleet.mean().small / seeds;
-    out.least_large = std::min(out.least_large, fleet.least_large);
+    out.min_large = std::min(out.min_large, fleet.min_large);
     out.breaches += fleet.run.fleet.breaches().size();
   }
   return out;
@@ -200,19 +200,19 @@
 /// A model with enough hosts keeps some groups whatever fails: when it has two
 /// of six or fewer, hosts of the smaller model's groups form more of the
 /// larger.
-TEST(group_share, the_larger_model_keeps_groups_when_pairs_of_hosts_fail) {
-  const share_figures without = play(false, false);
-  const share_figures with = play(true, false);
+TEST(group_yield, the_larger_model_keeps_groups_when_pairs_of_hosts_fail) {
+  const share_figures without = run_seeds(false, false);
+  const share_figures with = run_seeds(true, false);
   EXPECT_GT(with.mean.large, without.mean.large + 0.2);
-  EXPECT_GE(with.least_large, 2);
+  EXPECT_GE(with.min_large, 2);
   EXPECT_GT(with.mean.small, 10);
   EXPECT_EQ(with.breaches, 0U);
 }
 
 /// In addition, a third of the hosts is replaced within seven seconds.
-TEST(group_share, the_larger_model_keeps_groups_during_a_release) {
-  const share_figures without = play(false, true);
-  const share_figures with = play(true, true);
+TEST(group_yield, the_larger_model_keeps_groups_during_a_release) {
+  const share_figures without = run_seeds(false, true);
+  const share_figures with = run_seeds(true, true);
   EXPECT_GT(with.mean.large, without.mean.large + 0.2);
   EXPECT_GT(with.mean.small, 8);
   EXPECT_EQ(with.breaches, 0U);
--- a/test/model-shares-test.cc
+++ b/test/model-shares-test.cc
@@ -32,12 +32,12 @@
 
 TEST(needed_groups, discounts_refused_requests) {
   const engine_profile engine = two_sizes(8, 4);
-  const model_demand asked{"lm", "large", 10, 10000, 1000, 0};
-  model_demand refused = asked;
+  const model_demand demand{"lm", "large", 10, 10000, 1000, 0};
+  model_demand refused = demand;
   refused.refused = 8;
   const model_profile& model = engine.models[0];
   EXPECT_NEAR(needed_groups(engine, model, refused),
-              0.6 * needed_groups(engine, model, asked), 1e-9);
+              0.6 * needed_groups(engine, model, demand), 1e-9);
 }
 
 RC_GTEST_PROP(predicted_slowdown, decreases_with_each_group, (uint16_t load)) {
@@ -64,8 +64,9 @@
 TEST(allocate_hosts, balances_the_utilization_of_models) {
   const engine_profile engine = two_sizes(8, 4);
   const host_capacity room{std::vector<int>(9, 16), 3};
-  const count_by_model level = {{"large", 9}, {"small", 18}};
-  EXPECT_EQ(allocate_hosts(engine, room, {{"large", 5}, {"small", 10}}), level);
+  const count_by_model balanced = {{"large", 9}, {"small", 18}};
+  EXPECT_EQ(allocate_hosts(engine, room, {{"large", 5}, {"small", 10}}),
+            balanced);
   // The hosts needed are in proportion 35 to 56.
   const count_by_model uneven = {{"large", 7}, {"small", 22}};
   EXPECT_EQ(allocate_hosts(engine, room, {{"large", 4.4}, {"small", 14}}),
@@ -90,16 +91,16 @@
 }
 
 const host_capacity nine_domains{std::vector<int>(9, 16), 3};
-const count_by_model stated = {{"large", 9}, {"small", 18}};
+const count_by_model configured = {{"large", 9}, {"small", 18}};
 
 /// Adds one second after another; returns that of the first change, or -1.
 int first_change(model_shares& shares, int seconds,
                  const std::function<need_by_model(int)>& need_at) {
   const engine_profile engine = two_sizes(8, 4);
-  const absl::Time began = absl::FromUnixSeconds(1000);
+  const absl::Time start = absl::FromUnixSeconds(1000);
   for (int i = 0; i < seconds; ++i) {
-    if (shares.add_sample(engine, nine_domains, stated, need_at(i),
-                          began + absl::Seconds(i))) {
+    if (shares.add_sample(engine, nine_domains, configured, need_at(i),
+                          start + absl::Seconds(i))) {
       return i;
     }
   }
@@ -123,9 +124,9 @@
 TEST(model_shares, one_second_without_gain_prevents_a_change) {
   model_shares shares;
   const auto need = [](int second) {
-    const bool calm = second % 12 == 0;
-    return need_by_model{{"large", calm ? 5.0 : 3.0},
-                         {"small", calm ? 10.0 : 16.0}};
+    const bool balanced = second % 12 == 0;
+    return need_by_model{{"large", balanced ? 5.0 : 3.0},
+                         {"small", balanced ? 10.0 : 16.0}};
   };
   EXPECT_EQ(first_change(shares, 120, need), -1);
 }
--- a/test/placement-bench.cc
+++ b/test/placement-bench.cc
@@ -22,13 +22,13 @@
   absl::Duration load_time;
 };
 
-struct figures {
+struct results {
   double downtime = 0;
   double stranded = 0;
   size_t violations = 0;
 };
 
-figures run(const scenario& s, policy_kind policy, bool preload,
+results run(const scenario& s, policy_kind policy, bool preload,
             uint64_t seed) {
   fake_options options;
   options.seed = seed;
@@ -57,11 +57,11 @@
   random_stream random;
   random.engine.seed(seed);
   const absl::Time end = hall.now + s.time;
-  std::vector<std::pair<absl::Time, std::string>> returns;
+  std::vector<std::pair<absl::Time, std::string>> recoveries;
   while (hall.now < end) {
     const double wait = -std::log(1 - random.unit());
     hall.run_for(wait * s.mean_between_failures);
-    std::erase_if(returns, [&](const auto& back) {
+    std::erase_if(recoveries, [&](const auto& back) {
       if (back.first > hall.now) return false;
       hall.revive_host(back.second);
       return true;
@@ -76,7 +76,7 @@
       if (!hit || !host.alive) continue;
       hall.kill_host(name);
       const double minutes = 2 + 8 * random.unit();
-      returns.emplace_back(hall.now + absl::Minutes(minutes), name);
+      recoveries.emplace_back(hall.now + absl::Minutes(minutes), name);
     }
   }
   return {hall.downtime, hall.stranded, hall.violations.size()};
@@ -89,9 +89,9 @@
       {"whole-replica", policy_kind::whole_replica}};
   for (const auto& [name, kind] : policies) {
     if (only && std::strcmp(only, name) != 0) continue;
-    figures sum;
+    results sum;
     for (int seed = 1; seed <= seeds; seed++) {
-      const figures f = run(s, kind, preload, static_cast<uint64_t>(seed));
+      const results f = run(s, kind, preload, static_cast<uint64_t>(seed));
       sum.downtime += f.downtime;
       sum.stranded += f.stranded;
       sum.violations += f.violations;
--- a/test/planner-test.cc
+++ b/test/planner-test.cc
@@ -57,7 +57,7 @@
     }
   }
 
-  void lose(const std::string& name) {
+  void fail_host(const std::string& name) {
     this->in.hosts[name].report.reset();
     this->in.hosts[name].lost_since = this->in.now - absl::Hours(1);
   }
@@ -119,13 +119,13 @@
   }
   ASSERT_EQ(hall.serving(), 3);
   const auto after = config_of(2, 3, 1, "2");
-  int least = 3;
+  int min_serving = 3;
   for (int i = 0; i < 200; i++) {
     hall.step(after);
-    least = std::min(least, hall.serving());
+    min_serving = std::min(min_serving, hall.serving());
     hall.apply_placement();
   }
-  EXPECT_EQ(least, 2);
+  EXPECT_EQ(min_serving, 2);
   EXPECT_EQ(hall.serving(), 3);
   for (const auto& g : hall.in.current.groups) EXPECT_EQ(g.version, "2");
 }
@@ -162,13 +162,13 @@
     hall.apply_placement();
   }
   const auto after = config_of(2, 2, 2, "2");
-  int least = 2;
+  int min_serving = 2;
   for (int i = 0; i < 200; i++) {
     hall.step(after);
-    least = std::min(least, hall.serving());
+    min_serving = std::min(min_serving, hall.serving());
     hall.apply_placement();
   }
-  EXPECT_EQ(least, 2);
+  EXPECT_EQ(min_serving, 2);
   for (const auto& g : hall.in.current.groups) EXPECT_EQ(g.version, "2");
 }
 
@@ -179,7 +179,7 @@
     hall.step(config);
     hall.apply_placement();
   }
-  hall.lose("d0h0");
+  hall.fail_host("d0h0");
   hall.step(config);
   EXPECT_EQ(hall.in.current.groups.size(), 1U);
 }
@@ -236,7 +236,7 @@
       auto it = hall.in.hosts.begin();
       std::advance(it, *rc::gen::inRange(0, domains * per_domain));
       if (it->second.report) {
-        hall.lose(it->first);
+        hall.fail_host(it->first);
       } else {
         it->second.report = host_report{};
         it->second.lost_since = absl::InfiniteFuture();
