--- a/include/spokesail/demand-table.h
+++ b/include/spokesail/demand-table.h
@@ -30,11 +30,13 @@
   /// A hall without a report for this long has no demand either.
   static constexpr absl::Duration hall_ttl = absl::Seconds(30);
 
-  /// Stores a node's report. An empty one is ignored.
+  /// Stores a node's report, which replaces that of the whole hall. An empty
+  /// one is ignored.
   void update_node(const std::string& node, const std::string& hall,
                    const std::vector<model_demand>& demand, absl::Time now);
 
-  /// Stores the report of a whole hall, which replaces those of its nodes.
+  /// Stores the report of a whole hall, which replaces those of its nodes. An
+  /// empty one is ignored.
   void update_hall(const std::string& hall,
                    const std::vector<model_demand>& demand, absl::Time now);
 
--- a/include/spokesail/group-controller.h
+++ b/include/spokesail/group-controller.h
@@ -52,7 +52,7 @@
   std::vector<group_order> orders;
   /// Ids of the servers to request a report from.
   std::vector<std::string> report_requests;
-  std::vector<controller_event> notes;
+  std::vector<controller_event> events;
   /// State of the models; only filled at the period of the summary.
   std::vector<model_summary> summaries;
   /// Whether this holder should give up its lease.
@@ -361,11 +361,11 @@
   dissolvable_groups find_dissolvable_groups(const service_state& s,
                                              const model_profile& model) const;
   /// Hosts that could form a group of `model`: free ones, those of groups being
-  /// dissolved, and those of `to_end`.
-  hosts_by_domain reclaimable_hosts(const service_state& s,
-                                    const model_profile& model,
-                                    const hosts_by_domain& free,
-                                    const std::set<std::string>& to_end) const;
+  /// dissolved, and those of `dissolvable`.
+  hosts_by_domain reclaimable_hosts(
+      const service_state& s, const model_profile& model,
+      const hosts_by_domain& free,
+      const std::set<std::string>& dissolvable) const;
   /// Whether a group is not being dissolved.
   bool remains(const std::string& group) const;
   /// Forms further groups from free hosts that hold the weights of a model.
@@ -449,7 +449,7 @@
   void count_earlier_loads(const engine_profile& engine, absl::Time now);
   /// Number of loads from the weight store that may start now.
   int remaining_loads(const engine_profile& engine, absl::Time now);
-  /// Stages the weights on the hosts of `f` that lack them.
+  /// Stages the weights on the hosts of `candidate` that lack them.
   void stage_for(const service_state& s, const group_candidate& f,
                  absl::Time now, group_actions& out);
   /// Orders one server to stage a model. Returns false if it may not now.
--- a/include/spokesail/model-shares.h
+++ b/include/spokesail/model-shares.h
@@ -39,7 +39,7 @@
 
 /// Whether this number of groups of each model fits into the domains.
 bool groups_fit(const engine_profile& engine, const count_by_model& counts,
-                const host_capacity& room);
+                const host_capacity& capacity);
 
 /// The slowdown of all requests under an allocation, weighted by the hosts that
 /// they need.
@@ -48,7 +48,7 @@
 
 /// The allocation of the lowest cost that keeps each model's minimum.
 count_by_model allocate_hosts(const engine_profile& engine,
-                              const host_capacity& room,
+                              const host_capacity& capacity,
                               const need_by_model& need);
 
 /// Thresholds for a change of the allocation.
@@ -77,7 +77,7 @@
   /// What it would have gained over the observed time, and in the second with
   /// the lowest gain, as fractions of the cost.
   double gain = 0;
-  double min_gain = 0;
+  double lowest_gain = 0;
   absl::Duration observed = absl::ZeroDuration();
   bool operator==(const allocation_change&) const = default;
 };
@@ -90,7 +90,7 @@
   /// Adds the demand of one more second. `wanted` are the numbers of groups
   /// that the shares in force amount to. Returns a change if one is made.
   std::optional<allocation_change> add_sample(const engine_profile& engine,
-                                              const host_capacity& room,
+                                              const host_capacity& capacity,
                                               const count_by_model& wanted,
                                               const need_by_model& need,
                                               absl::Time now);
@@ -119,7 +119,7 @@
     absl::Time at;
     need_by_model need;
   };
-  /// Index of the last sample taken by `from`, or else 0.
+  /// Index of the last sample taken at or before `from`; 0 if there is none.
   size_t first_sample_since(absl::Time from) const;
   /// The mean need of the samples from index `first` on.
   need_by_model mean_need_from(size_t first) const;
@@ -128,11 +128,12 @@
                 allocation_change& change) const;
   /// A change that is worthwhile, if its loads take no longer than `load`.
   std::optional<allocation_change> find_change(const engine_profile& engine,
-                                               const host_capacity& room,
+                                               const host_capacity& capacity,
                                                const count_by_model& wanted,
                                                absl::Duration load,
                                                absl::Time now) const;
-  void apply_allocation(const engine_profile& engine, const host_capacity& room,
+  void apply_allocation(const engine_profile& engine,
+                        const host_capacity& capacity,
                         const count_by_model& counts);
 
   reallocation_rules rules;
--- a/src/group-controller-runner.cc
+++ b/src/group-controller-runner.cc
@@ -34,7 +34,7 @@
 
 /// Upper bound on the age of a holder state when it is received: two levels of
 /// relays forward it every 0.18 s.
-constexpr absl::Duration max_status_age = absl::Milliseconds(500);
+constexpr absl::Duration max_state_age = absl::Milliseconds(500);
 
 }  // namespace
 
@@ -53,7 +53,7 @@
 earlier_loads group_controller_runner::known_earlier_loads() const {
   if (!this->node.last_holder_state) return {};
   return {this->node.last_holder_state->loads_begun,
-          this->node.holder_heard_at - max_status_age};
+          this->node.holder_heard_at - max_state_age};
 }
 
 std::vector<model_share> group_controller_runner::known_shares() const {
@@ -165,13 +165,13 @@
   this->controller.on_report(server, report, this->node.now());
 }
 
-void group_controller_runner::log_notes(
-    const std::vector<controller_event>& notes) {
-  for (const auto& note : notes) {
+void group_controller_runner::log_events(
+    const std::vector<controller_event>& events) {
+  for (const auto& change : events) {
     this->node.log.state_change(
-        note.event.c_str(),
-        {{"subject", note.subject},
-         {"why", note.reason},
+        change.event.c_str(),
+        {{"subject", change.subject},
+         {"why", change.reason},
          {"servers_rev", absl::StrCat(this->node.directory.revision())}},
         this->node.now());
   }
@@ -204,7 +204,7 @@
   const group_actions actions =
       this->controller.step(this->node.directory, this->node.routes->config(),
                             this->node.requests_seen, this->node.now());
-  this->log_notes(actions.notes);
+  this->log_events(actions.events);
   this->log_summaries(actions.summaries);
   for (const auto& order : actions.orders) {
     net::co_spawn(this->node.loop, this->send_order(order), net::detached);
--- a/src/group-controller-runner.h
+++ b/src/group-controller-runner.h
@@ -37,9 +37,9 @@
   /// Runs one step of the controller and carries out its result.
   void step();
   void log_summaries(const std::vector<model_summary>& models);
-  void log_notes(const std::vector<controller_event>& notes);
+  void log_events(const std::vector<controller_event>& events);
   boost::asio::awaitable<void> send_order(group_order order);
-  void log_order(const group_order& order, order_result end,
+  void log_order(const group_order& order, order_result outcome,
                  const std::string& reason);
   boost::asio::awaitable<void> fetch_report(std::string server,
                                             std::string address);
--- a/src/group-controller.cc
+++ b/src/group-controller.cc
@@ -20,7 +20,7 @@
 
 /// Up to this number of unresponsive servers does not show that the holder
 /// itself is disconnected, however small the fleet is.
-constexpr size_t max_ignored_silent = 2;
+constexpr size_t max_ignored_unresponsive = 2;
 
 /// Period of the summary of models; short enough to see in a log why a group
 /// was missing when a request found none.
@@ -312,7 +312,8 @@
 }
 
 bool group_controller::is_isolated(const server_directory& directory) const {
-  if (this->unresponsive_servers().size() <= max_ignored_silent) return false;
+  if (this->unresponsive_servers().size() <= max_ignored_unresponsive)
+    return false;
   // If a data hall is cut off, all of its servers are unresponsive although the
   // holder is sound, so halls are counted rather than servers.
   std::map<std::string, hall_count> halls;
@@ -339,9 +340,9 @@
   this->sync_directory(directory, now);
   this->send_probes(out, now);
   if (this->is_isolated(directory)) {
-    out.notes.push_back({"controller_cut_off",
-                         absl::StrCat(this->unresponsive_servers().size()),
-                         "too many servers do not answer"});
+    out.events.push_back({"controller_cut_off",
+                          absl::StrCat(this->unresponsive_servers().size()),
+                          "too many servers do not answer"});
     out.step_down = true;
     return out;
   }
--- a/src/group-division.cc
+++ b/src/group-division.cc
@@ -49,7 +49,7 @@
                        absl::FormatDuration(change.observed), " report_age ",
                        absl::FormatDuration(age), " gain ",
                        std::round(change.gain * 100) / 100, " lowest ",
-                       std::round(change.min_gain * 100) / 100)};
+                       std::round(change.lowest_gain * 100) / 100)};
 }
 
 }  // namespace
@@ -141,7 +141,7 @@
       *s.engine, this->available_capacity(s), wanted, need, now);
   if (!change) return;
   const absl::Duration age = now - this->demand_at + this->demand->age;
-  out.notes.push_back(allocation_event(s.service, *change, age));
+  out.events.push_back(allocation_event(s.service, *change, age));
 }
 
 int group_controller::persistent_deficit(const service_state& s,
--- a/src/group-formation.cc
+++ b/src/group-formation.cc
@@ -89,15 +89,15 @@
 double group_controller::wanted_groups(const service_state& s,
                                        const model_profile& model) const {
   // Spares are counted by domain, since a spare only helps in its own.
-  double used = 0;
+  double hosts = 0;
   for (const auto& [domain, count] : s.usable_hosts) {
-    used += count - std::ceil(count * this->options.spare_share);
+    hosts += count - std::ceil(count * this->options.spare_share);
   }
   const auto found = this->allocations.find(s.service);
   const double share = found == this->allocations.end()
                            ? model.share
                            : found->second.shares.share(model);
-  return std::max(1.0, std::round(used * share / model.group_size));
+  return std::max(1.0, std::round(hosts * share / model.group_size));
 }
 
 double group_controller::fill_ratio(const service_state& s,
@@ -128,29 +128,29 @@
                        return this->join_time(s, a, model, now) <
                               this->join_time(s, b, model, now);
                      });
-    group_candidate f;
-    f.model = &model;
-    f.domain = domain;
-    f.members.assign(sorted.begin(),
-                     sorted.begin() + static_cast<ptrdiff_t>(size));
-    f.free_left = ids.size() - size;
+    group_candidate candidate;
+    candidate.model = &model;
+    candidate.domain = domain;
+    candidate.members.assign(sorted.begin(),
+                             sorted.begin() + static_cast<ptrdiff_t>(size));
+    candidate.free_left = ids.size() - size;
     std::set<std::string> dissolved;
-    for (const auto& id : f.members) {
+    for (const auto& id : candidate.members) {
       const absl::Duration time = this->join_time(s, id, model, now);
-      f.slowest = std::max(f.slowest, time);
-      if (this->needs_load(s, id, model)) f.loads++;
+      candidate.slowest = std::max(candidate.slowest, time);
+      if (this->needs_load(s, id, model)) candidate.loads++;
       const group_membership& membership = s.entry(id).membership;
       if (membership.phase != member_phase::none &&
           this->remains(membership.group)) {
         dissolved.insert(membership.group);
       }
     }
-    f.dissolved = static_cast<int>(dissolved.size());
-    const auto order = [](const group_candidate& x) {
-      return std::tuple(x.loads, x.dissolved, x.slowest,
-                        -static_cast<int>(x.free_left));
+    candidate.dissolved = static_cast<int>(dissolved.size());
+    const auto order = [](const group_candidate& c) {
+      return std::tuple(c.loads, c.dissolved, c.slowest,
+                        -static_cast<int>(c.free_left));
     };
-    if (!best || order(f) < order(*best)) best = f;
+    if (!best || order(candidate) < order(*best)) best = candidate;
   }
   return best;
 }
@@ -161,16 +161,16 @@
   // Before the first request the largest groups go first, since they fit into
   // the fewest places; later the model with the lowest fill ratio goes first.
   const model_profile* next = nullptr;
-  double least = 1;
+  double lowest = 1;
   for (const auto& model : s.engine->models) {
     const double fill = this->fill_ratio(s, model);
     if (fill >= 1 || skipped.count(model.name) != 0) continue;
     const bool larger = next != nullptr && model.group_size > next->group_size;
     const bool better =
-        next == nullptr || (requests_seen ? fill < least : larger);
+        next == nullptr || (requests_seen ? fill < lowest : larger);
     if (!better) continue;
     next = &model;
-    least = fill;
+    lowest = fill;
   }
   return next;
 }
@@ -226,7 +226,7 @@
   this->plans[name] = {s.service, model.name, epoch, members,
                        now + slowest + this->options.formation_slack};
   s.group_count[model.name]++;
-  out.notes.push_back(
+  out.events.push_back(
       {"group_forming", name,
        absl::StrCat("expected in ", absl::FormatDuration(slowest))});
 }
--- a/src/group-repair.cc
+++ b/src/group-repair.cc
@@ -103,7 +103,7 @@
                                 group_actions& out) {
   const auto [since, first] = this->dissolving.emplace(group.name, now);
   if (first) {
-    out.notes.push_back({"group_dissolved", group.name, reason});
+    out.events.push_back({"group_dissolved", group.name, reason});
     this->plans.erase(group.name);
   }
   const std::string& head = group.head();
--- a/src/group-spares.cc
+++ b/src/group-spares.cc
@@ -90,7 +90,8 @@
 
 group_controller::hosts_by_domain group_controller::reclaimable_hosts(
     const service_state& s, const model_profile& model,
-    const hosts_by_domain& free, const std::set<std::string>& to_end) const {
+    const hosts_by_domain& free,
+    const std::set<std::string>& dissolvable) const {
   hosts_by_domain hosts = free;
   const auto add_hosts = [&](bool ending) {
     for (const auto& group : s.groups) {
@@ -98,7 +99,7 @@
       if (this->stopped_groups.count(group.name) != 0) continue;
       const bool is_ending = this->dissolving.count(group.name) != 0;
       if (is_ending != ending) continue;
-      if (!is_ending && to_end.count(group.name) == 0) continue;
+      if (!is_ending && dissolvable.count(group.name) == 0) continue;
       for (const auto& id : group.members) {
         if (id.empty() || !s.has_server(id) || !this->may_join(s.entry(id)))
           continue;
@@ -118,20 +119,21 @@
                                       hosts_by_domain& free, absl::Time now,
                                       group_actions& out) {
   if (!this->options.spares_serve) return false;
-  const dissolvable_groups endable = this->find_dissolvable_groups(s, model);
-  const auto hosts = this->reclaimable_hosts(s, model, free, endable.names);
+  const dissolvable_groups dissolvable =
+      this->find_dissolvable_groups(s, model);
+  const auto hosts = this->reclaimable_hosts(s, model, free, dissolvable.names);
   const auto best = this->best_candidate(s, model, hosts, now);
   if (!best || best->loads > 0) return false;
   std::set<std::string> to_dissolve;
   for (const auto& id : best->members) {
     const std::string& group = s.entry(id).membership.group;
-    const bool remains = this->remains(group);
-    if (remains && endable.names.count(group) != 0) to_dissolve.insert(group);
+    const bool kept = this->remains(group);
+    if (kept && dissolvable.names.count(group) != 0) to_dissolve.insert(group);
   }
   const auto wanted_count = std::count_if(
       to_dissolve.begin(), to_dissolve.end(),
       [&](const auto& name) { return s.spare_groups.count(name) == 0; });
-  if (wanted_count > endable.beyond_spares) return false;
+  if (wanted_count > dissolvable.beyond_spares) return false;
   for (const auto& group : s.groups) {
     if (to_dissolve.count(group.name) == 0) continue;
     s.spare_groups.erase(group.name);
--- a/src/group-staging.cc
+++ b/src/group-staging.cc
@@ -38,10 +38,10 @@
 
 /// The model with the smallest groups; null if there is none.
 const model_profile* smallest_model(const engine_profile& engine) {
-  const auto least = std::min_element(
+  const auto smallest = std::min_element(
       engine.models.begin(), engine.models.end(),
       [](const auto& a, const auto& b) { return a.group_size < b.group_size; });
-  return least == engine.models.end() ? nullptr : &*least;
+  return smallest == engine.models.end() ? nullptr : &*smallest;
 }
 
 /// Need of `members` for one more spare in addition to `spares`.
@@ -66,7 +66,7 @@
   /// rejoin without keeping the weights on the host.
   std::set<std::string> rejoining;
   /// Hosts in wanted groups, and the model whose weights they hold.
-  std::map<std::string, std::string> serving;
+  std::map<std::string, std::string> serving_holders;
 };
 
 void group_controller::count_serving_spare(const server_entry& entry,
@@ -91,7 +91,7 @@
   const std::string model = group_model(entry.membership.group);
   weights.members[model]++;
   if (now >= track.staging_until && staged_on(entry, model)) {
-    weights.serving[entry.id] = model;
+    weights.serving_holders[entry.id] = model;
   }
 }
 
@@ -137,18 +137,18 @@
 }
 
 void group_controller::stage_for(const service_state& s,
-                                 const group_candidate& f, absl::Time now,
-                                 group_actions& out) {
-  for (const auto& id : f.members) {
-    if (!this->needs_load(s, id, *f.model)) continue;
-    this->stage(s, id, *f.model, true, now, out);
+                                 const group_candidate& candidate,
+                                 absl::Time now, group_actions& out) {
+  for (const auto& id : candidate.members) {
+    if (!this->needs_load(s, id, *candidate.model)) continue;
+    this->stage(s, id, *candidate.model, true, now, out);
   }
 }
 
 bool group_controller::stage(const service_state& s, const std::string& id,
                              const model_profile& model, bool requests_seen,
                              absl::Time now, group_actions& out) {
-  // A previous holder may have started a load on it, which goes on.
+  // A load that a previous holder started is not interrupted.
   if (s.track(id).order_running) return false;
   if (now < s.track(id).staging_until) return false;
   if (requests_seen && this->remaining_loads(*s.engine, now) <= 0) return false;
@@ -160,7 +160,7 @@
   track.staging_model = model.name;
   track.staging_until = now + model.cold_load + stage_slack;
   this->loads.push_back(now);
-  out.notes.push_back({"host_staging", id, model.name});
+  out.events.push_back({"host_staging", id, model.name});
   return true;
 }
 
@@ -264,7 +264,7 @@
     if (smallest == nullptr || model.group_size <= smallest->group_size)
       continue;
     auto target = static_cast<int>(yield_spare_ratio * model.group_size);
-    for (const auto& [id, staged_model] : weights.serving) {
+    for (const auto& [id, staged_model] : weights.serving_holders) {
       if (weights.spares[model.name] >= target) break;
       if (staged_model != smallest->name) continue;
       if (!this->stage(s, id, model, false, now, out)) continue;
--- a/src/group-warming.cc
+++ b/src/group-warming.cc
@@ -53,7 +53,7 @@
   const std::string name = join.group;
   if (!this->send(entry, std::move(join), out)) return;
   this->warmups[name] = {id, now + model->staged_load + warm_slack};
-  out.notes.push_back({"host_warming", id, model->name});
+  out.events.push_back({"host_warming", id, model->name});
 }
 
 void group_controller::warm_spares(const service_state& s, bool requests_seen,
--- a/src/model-shares.cc
+++ b/src/model-shares.cc
@@ -16,10 +16,11 @@
 /// refused request is sent again and then counted a second time.
 constexpr double refused_weight = 0.5;
 
-/// Utilization above which the slowdown continues along the tangent of 1 / (1 -
-/// use). That formula diverges at full use, and the limit on the requests that
-/// engines run at once does not bound the slowdown there.
-constexpr double linear_from_use = 0.8;
+/// Utilization from which the slowdown follows the tangent of 1 / (1 - u) in
+/// place of the formula, which diverges at full utilization. The limit on the
+/// requests that engines run at once does not bound the slowdown above this
+/// point.
+constexpr double linear_from_utilization = 0.8;
 
 /// Number of groups that each model keeps if there are enough data halls.
 constexpr int min_groups = 2;
@@ -38,7 +39,7 @@
   return out;
 }
 
-double value_of(const need_by_model& need, const std::string& model) {
+double need_of(const need_by_model& need, const std::string& model) {
   const auto found = need.find(model);
   return found == need.end() ? 0 : found->second;
 }
@@ -65,18 +66,19 @@
   return best;
 }
 
+/// The number of groups that each model keeps in any case, as far as they fit.
 count_by_model group_floors(const engine_profile& engine,
-                            const host_capacity& room,
+                            const host_capacity& capacity,
                             const need_by_model& need) {
   count_by_model out;
-  const int most = std::min(room.halls, min_groups);
-  for (int count = 1; count <= most; ++count) {
+  const int floor = std::min(capacity.halls, min_groups);
+  for (int count = 1; count <= floor; ++count) {
     for (const auto* model : by_size(engine)) {
-      const bool needed = model->share > 0 || value_of(need, model->name) > 0;
+      const bool needed = model->share > 0 || need_of(need, model->name) > 0;
       if (!needed) continue;
       count_by_model with_one_more = out;
       with_one_more[model->name]++;
-      if (groups_fit(engine, with_one_more, room)) out = with_one_more;
+      if (groups_fit(engine, with_one_more, capacity)) out = with_one_more;
     }
   }
   return out;
@@ -134,17 +136,17 @@
   if (need <= 0) return 1;
   // Without any group, waits are longer than with one.
   const double utilization = groups > 0 ? need / groups : 1 + need;
-  if (utilization <= linear_from_use) return 1 / (1 - utilization);
-  const double rest = 1 - linear_from_use;
-  return 1 / rest + (utilization - linear_from_use) / (rest * rest);
+  if (utilization <= linear_from_utilization) return 1 / (1 - utilization);
+  const double rest = 1 - linear_from_utilization;
+  return 1 / rest + (utilization - linear_from_utilization) / (rest * rest);
 }
 
 bool groups_fit(const engine_profile& engine, const count_by_model& counts,
-                const host_capacity& room) {
+                const host_capacity& capacity) {
   const auto models = by_size(engine);
   if (models.empty()) return true;
   const int smallest = std::max(1, models.back()->group_size);
-  std::vector<int> left = room.domains;
+  std::vector<int> left = capacity.domains;
   for (const auto* model : models) {
     const auto count = counts.find(model->name);
     if (count == counts.end()) continue;
@@ -163,27 +165,27 @@
   double out = 0;
   for (const auto& model : engine.models) {
     const auto count = counts.find(model.name);
-    out += model_cost(model, value_of(need, model.name),
+    out += model_cost(model, need_of(need, model.name),
                       count == counts.end() ? 0 : count->second);
   }
   return out;
 }
 
 count_by_model allocate_hosts(const engine_profile& engine,
-                              const host_capacity& room,
+                              const host_capacity& capacity,
                               const need_by_model& need) {
-  count_by_model counts = group_floors(engine, room, need);
+  count_by_model counts = group_floors(engine, capacity, need);
   for (;;) {
     count_by_model best;
     double best_gain = 0;
     for (const auto& model : engine.models) {
       count_by_model with_one_more = counts;
       const int groups = with_one_more[model.name]++;
-      const double model_need = value_of(need, model.name);
+      const double model_need = need_of(need, model.name);
       const double gain = (model_cost(model, model_need, groups) -
                            model_cost(model, model_need, groups + 1)) /
                           model.group_size;
-      if (gain <= best_gain || !groups_fit(engine, with_one_more, room))
+      if (gain <= best_gain || !groups_fit(engine, with_one_more, capacity))
         continue;
       best = with_one_more;
       best_gain = gain;
@@ -221,13 +223,13 @@
                             allocation_change& change) const {
   double all_before = 0;
   double all_after = 0;
-  change.min_gain = std::numeric_limits<double>::infinity();
+  change.lowest_gain = std::numeric_limits<double>::infinity();
   for (size_t i = first; i < this->samples.size(); ++i) {
     const need_by_model& need = this->samples[i].need;
     const double before = allocation_cost(engine, change.from, need);
     const double after = allocation_cost(engine, change.to, need);
     const double gain = before > 0 ? (before - after) / before : 0;
-    change.min_gain = std::min(change.min_gain, gain);
+    change.lowest_gain = std::min(change.lowest_gain, gain);
     all_before += before;
     all_after += after;
   }
@@ -235,7 +237,7 @@
 }
 
 std::optional<allocation_change> model_shares::find_change(
-    const engine_profile& engine, const host_capacity& room,
+    const engine_profile& engine, const host_capacity& capacity,
     const count_by_model& wanted, absl::Duration load, absl::Time now) const {
   const absl::Duration required_time = this->rules.wait_for_loads
                                            ? load + this->rules.evidence_margin
@@ -244,14 +246,14 @@
   if (this->samples.front().at > since) return std::nullopt;
   const size_t first = this->first_sample_since(since);
   const need_by_model need = this->mean_need_from(first);
-  allocation_change out{wanted, allocate_hosts(engine, room, need), need, 0,
+  allocation_change out{wanted, allocate_hosts(engine, capacity, need), need, 0,
                         0,      now - this->samples[first].at};
   if (out.to == wanted) return std::nullopt;
   if (longest_load(engine, wanted, out.to) > load) return std::nullopt;
   this->evaluate(engine, first, out);
   const double min_sample_gain =
       this->rules.min_gain * this->rules.min_sample_gain_ratio;
-  if (out.gain < this->rules.min_gain || out.min_gain < min_sample_gain) {
+  if (out.gain < this->rules.min_gain || out.lowest_gain < min_sample_gain) {
     return std::nullopt;
   }
   const double lost = moved_fraction(engine, wanted, out.to) *
@@ -262,7 +264,7 @@
 }
 
 std::optional<allocation_change> model_shares::add_sample(
-    const engine_profile& engine, const host_capacity& room,
+    const engine_profile& engine, const host_capacity& capacity,
     const count_by_model& wanted, const need_by_model& need, absl::Time now) {
   this->samples.push_back({now, need});
   std::set<absl::Duration> loads;
@@ -273,9 +275,9 @@
     this->samples.pop_front();
   }
   for (const absl::Duration load : loads) {
-    auto change = this->find_change(engine, room, wanted, load, now);
+    auto change = this->find_change(engine, capacity, wanted, load, now);
     if (!change) continue;
-    this->apply_allocation(engine, room, change->to);
+    this->apply_allocation(engine, capacity, change->to);
     return change;
   }
   return std::nullopt;
@@ -300,10 +302,10 @@
 }
 
 void model_shares::apply_allocation(const engine_profile& engine,
-                                    const host_capacity& room,
+                                    const host_capacity& capacity,
                                     const count_by_model& counts) {
   const double hosts =
-      std::accumulate(room.domains.begin(), room.domains.end(), 0.0);
+      std::accumulate(capacity.domains.begin(), capacity.domains.end(), 0.0);
   for (const auto& model : engine.models) {
     const auto count = counts.find(model.name);
     const int groups = count == counts.end() ? 0 : count->second;
--- a/test/group-yield-test.cc
+++ b/test/group-yield-test.cc
@@ -175,15 +175,15 @@
 }
 
 /// Results under one rule, averaged over some seeds.
-struct share_figures {
+struct yield_results {
   mean_serving mean;
   int min_large = domains;
   size_t breaches = 0;
 };
 
-share_figures run_seeds(bool smaller_yield, bool release) {
+yield_results run_seeds(bool smaller_yield, bool release) {
   constexpr uint64_t seeds = 4;
-  share_figures out;
+  yield_results out;
   for (uint64_t seed = 1; seed <= seeds; ++seed) {
     group_controller_options options;
     options.smaller_yield = smaller_yield;
@@ -201,8 +201,8 @@
 /// of six or fewer, hosts of the smaller model's groups form more of the
 /// larger.
 TEST(group_yield, the_larger_model_keeps_groups_when_pairs_of_hosts_fail) {
-  const share_figures without = run_seeds(false, false);
-  const share_figures with = run_seeds(true, false);
+  const yield_results without = run_seeds(false, false);
+  const yield_results with = run_seeds(true, false);
   EXPECT_GT(with.mean.large, without.mean.large + 0.2);
   EXPECT_GE(with.min_large, 2);
   EXPECT_GT(with.mean.small, 10);
@@ -211,8 +211,8 @@
 
 /// In addition, a third of the hosts is replaced within seven seconds.
 TEST(group_yield, the_larger_model_keeps_groups_during_a_release) {
-  const share_figures without = run_seeds(false, true);
-  const share_figures with = run_seeds(true, true);
+  const yield_results without = run_seeds(false, true);
+  const yield_results with = run_seeds(true, true);
   EXPECT_GT(with.mean.large, without.mean.large + 0.2);
   EXPECT_GT(with.mean.small, 8);
   EXPECT_EQ(with.breaches, 0U);
--- a/test/uneven-demand-test.cc
+++ b/test/uneven-demand-test.cc
@@ -118,7 +118,7 @@
     return 1.0;
   };
   /// Fraction of all requests that callers of a hall send.
-  std::array<double, halls> parts = {0.2, 0.2, 0.2, 0.2, 0.2};
+  std::array<double, halls> hall_fractions = {0.2, 0.2, 0.2, 0.2, 0.2};
   /// Halls whose reports are lost.
   std::set<int> lost_reports;
   /// Lower bound of the age of the oldest report.
@@ -146,7 +146,7 @@
     for (int hall = 0; hall < halls; ++hall) {
       const auto at = static_cast<size_t>(hall);
       double& due = this->arrivals_due[model][at];
-      due += rate * step * this->factors[model] * this->parts[at];
+      due += rate * step * this->factors[model] * this->hall_fractions[at];
       for (; due >= 1; due -= 1) {
         this->windows[at].arrive("lm", model, size, this->run.now);
       }
@@ -163,10 +163,10 @@
           this->windows[static_cast<size_t>(hall)].rates(this->run.now),
           this->run.now);
     }
-    demand_view known =
+    demand_view demand =
         this->table.total(this->windows[0].rates(this->run.now), this->run.now);
-    known.age = std::max(known.age, this->min_report_age);
-    this->run.controller.update_demand(known, this->run.now);
+    demand.age = std::max(demand.age, this->min_report_age);
+    this->run.controller.update_demand(demand, this->run.now);
   }
   void update_min_serving() {
     for (auto& [model, count] : this->min_serving) {
@@ -285,7 +285,7 @@
   demand_fleet fleet(5);
   fleet.set_demand(45, 45);
   fleet.run_for(absl::Seconds(20));
-  fleet.parts = {0.08, 0.32, 0.2, 0.2, 0.2};
+  fleet.hall_fractions = {0.08, 0.32, 0.2, 0.2, 0.2};
   fleet.run_for(absl::Seconds(40));
   EXPECT_EQ(fleet.changed_groups(), 0U);
   EXPECT_EQ(fleet.loads(), 0U);
