--- a/include/spokesail/controller.h
+++ b/include/spokesail/controller.h
@@ -104,7 +104,7 @@
  private:
   struct order_record {
     absl::Time sent_at = absl::InfinitePast();
-    bool out = false;
+    bool in_flight = false;
     order_status status = order_status::accepted;
     std::string group;
     int64_t incarnation = 0;
@@ -131,7 +131,7 @@
   struct spare_demand {
     const model_config* model = nullptr;
     int count = 0;
-    bool member = false;
+    bool has_group = false;
   };
   /// The demands on a domain's spares, most urgent first.
   std::vector<spare_demand> spare_demands(const controller_view& view,
@@ -149,10 +149,10 @@
   absl::Time term_since = absl::InfiniteFuture();
   bool placement_owned = false;
   bool placement_read = false;
-  object base;
+  object base_object;
   placement current;
   std::optional<document_write> write;
-  bool placement_call_out = false;
+  bool placement_call_pending = false;
   std::vector<plan_change> pending_changes;
   absl::Time next_plan = absl::InfinitePast();
   std::map<std::string, absl::Time> draining_since;
--- a/src/controller.cc
+++ b/src/controller.cc
@@ -75,11 +75,11 @@
       policy(make_policy(timing.policy)) {}
 
 void controller::follow_lease(absl::Time now) {
-  const bool leads = this->leads(now);
-  const int64_t fence = leads ? this->own_lease.fence() : -1;
+  const bool holds_lease = this->leads(now);
+  const int64_t fence = holds_lease ? this->own_lease.fence() : -1;
   if (fence == this->term_fence) return;
   this->term_fence = fence;
-  this->term_since = leads ? now : absl::InfiniteFuture();
+  this->term_since = holds_lease ? now : absl::InfiniteFuture();
   this->placement_owned = false;
   this->placement_read = false;
   this->write.reset();
@@ -102,13 +102,13 @@
 std::optional<platform_call> controller::advance_placement(
     const controller_view& view, absl::Time now, const std::string& write_id,
     controller_actions& actions) {
-  if (this->placement_call_out) return std::nullopt;
+  if (this->placement_call_pending) return std::nullopt;
   if (this->write) {
-    this->placement_call_out = true;
+    this->placement_call_pending = true;
     return next_call(*this->write);
   }
   if (!this->placement_read) {
-    this->placement_call_out = true;
+    this->placement_call_pending = true;
     return platform_call{
         call_kind::read, {kinds::placement, this->hall}, 0, {}};
   }
@@ -116,10 +116,10 @@
   // A higher fencing number in the document: another holder has the lease.
   if (this->current.fence > this->term_fence) return std::nullopt;
   if (!this->placement_owned) {
-    placement own = this->current;
-    own.hall = this->hall;
-    own.fence = this->term_fence;
-    return this->write_placement(own, write_id);
+    placement claimed = this->current;
+    claimed.hall = this->hall;
+    claimed.fence = this->term_fence;
+    return this->write_placement(claimed, write_id);
   }
   if (now < this->next_plan || !view.config) return std::nullopt;
   this->next_plan = now + this->timing.plan_interval;
@@ -133,16 +133,16 @@
 
 std::optional<platform_call> controller::write_placement(
     const placement& next, const std::string& write_id) {
-  this->write = make_write(this->base, json(next).dump(), write_id);
-  this->placement_call_out = true;
+  this->write = make_write(this->base_object, json(next).dump(), write_id);
+  this->placement_call_pending = true;
   return next_call(*this->write);
 }
 
 std::optional<object> controller::on_placement_answer(
     const platform_answer& answer) {
-  this->placement_call_out = false;
+  this->placement_call_pending = false;
   const auto accept = [this](const object& found) {
-    this->base = found;
+    this->base_object = found;
     this->current = placement{};
     const json spec = json::parse(found.body, nullptr, false);
     if (spec.is_object()) this->current = spec.get<placement>();
@@ -194,15 +194,15 @@
   in.draining_since = this->draining_since;
   in.drain_settle = this->timing.drain_settle;
   in.policy = this->policy.get();
-  // An order of the last holder may still be on its way to a host that does not
-  // check fencing numbers. Nor is a host given to another group while an order
-  // of this holder is outstanding.
+  // An order of the previous holder may still be on its way to a host that does
+  // not check fencing numbers. Nor is a host given to another group while an
+  // order of this holder is outstanding.
   const absl::Time earliest_reassignment =
       this->term_since + 2 * this->timing.order_deadline;
   for (auto& [name, host] : in.hosts) {
     if (!host.info.checks_fencing) host.reassign_after = earliest_reassignment;
     const auto it = this->orders.find(name);
-    if (it == this->orders.end() || !it->second.out) continue;
+    if (it == this->orders.end() || !it->second.in_flight) continue;
     host.reassign_after = std::max(
         host.reassign_after, it->second.sent_at + this->timing.order_deadline);
   }
@@ -213,7 +213,7 @@
   const auto it = this->orders.find(host);
   if (it == this->orders.end()) return true;
   const auto& last = it->second;
-  if (last.out) {
+  if (last.in_flight) {
     return now >= last.sent_at + 2 * this->timing.order_deadline;
   }
   return now >= last.sent_at + this->timing.order_repeat;
@@ -307,12 +307,13 @@
     if (wanted == model.replicas.end() || wanted->second == 0) continue;
     // A group of this domain needs one host to replace a member; a group of
     // another domain moves here as a whole.
-    const bool member = models_here.count(model.name) != 0;
-    demands.push_back({&model, member ? 1 : model.hosts_per_replica, member});
+    const bool has_group = models_here.count(model.name) != 0;
+    demands.push_back(
+        {&model, has_group ? 1 : model.hosts_per_replica, has_group});
   }
   std::stable_sort(demands.begin(), demands.end(),
                    [](const spare_demand& x, const spare_demand& y) {
-                     if (x.member != y.member) return x.member;
+                     if (x.has_group != y.has_group) return x.has_group;
                      return x.model->importance > y.model->importance;
                    });
   return demands;
@@ -345,15 +346,15 @@
       return host->report->phase == host_phase::loading;
     });
     for (const host_view* host : hosts) {
-      const auto open =
+      const auto unmet =
           std::find_if(demands.begin(), demands.end(),
                        [](const auto& demand) { return demand.count > 0; });
       // Groups that wait for weights come first and are counted already.
-      if (open == demands.end() || budget.loading >= budget.limit) break;
+      if (unmet == demands.end() || budget.loading >= budget.limit) break;
       if (!this->may_send(host->info.name, now)) continue;
-      open->count--;
+      unmet->count--;
       budget.loading++;
-      out.push_back(make_preload(host->info, *open->model));
+      out.push_back(make_preload(host->info, *unmet->model));
     }
   }
 }
@@ -362,7 +363,7 @@
                                  absl::Time now) {
   const auto it = this->orders.find(host);
   if (it == this->orders.end()) return;
-  it->second.out = false;
+  it->second.in_flight = false;
   it->second.status = status;
   if (status != order_status::accepted) it->second.sent_at = now;
 }
--- a/src/planner.cc
+++ b/src/planner.cc
@@ -79,8 +79,9 @@
     const host_view* leader = this->find(g.hosts.front());
     if (!leader) return true;
     if (!leader->report) return this->permanently_lost(g.hosts.front());
-    const bool fresh = leader->load_at >= settled;
-    return fresh && leader->load.running == 0 && leader->load.queued == 0;
+    const bool load_is_recent = leader->load_at >= settled;
+    return load_is_recent && leader->load.running == 0 &&
+           leader->load.queued == 0;
   }
 
   bool wanted(const group& g) const {
@@ -120,7 +121,7 @@
     for (auto& g : this->next.groups) {
       if (g.phase == group_phase::draining) continue;
       const bool leaving = this->has_leaving_host(g);
-      if (!leaving && (this->wanted(g) || !this->may_retire(g))) continue;
+      if (!leaving && (this->wanted(g) || !this->may_drain(g))) continue;
       g.phase = group_phase::draining;
       this->record_change(g, "draining",
                           leaving ? "host is leaving" : "not wanted");
@@ -144,7 +145,7 @@
   /// Whether an unwanted group may be drained now: either enough others serve,
   /// or no other group of its model is changing and the minimum is met without
   /// it.
-  bool may_retire(const group& g) const {
+  bool may_drain(const group& g) const {
     if (!this->counts_as_serving(g)) return true;
     const model_config* model = find_model(*this->in.config, g.model);
     if (!model || this->replicas_wanted(*model) == 0) return true;
@@ -208,15 +209,15 @@
     if (lost.size() == g.hosts.size()) return false;
     const auto spares = this->free_in(domain, g.model, g.version);
     if (spares.free_hosts.size() < lost.size()) return false;
-    std::string swapped;
+    std::string replacements;
     for (size_t i = 0; i < lost.size(); i++) {
       const auto& spare = spares.free_hosts[i];
       *std::find(g.hosts.begin(), g.hosts.end(), lost[i]) = spare;
-      swapped += lost[i] + ">" + spare + " ";
+      replacements += lost[i] + ">" + spare + " ";
     }
     g.incarnation = this->next.next_incarnation++;
     g.phase = group_phase::loading;
-    this->record_change(g, "repaired", swapped);
+    this->record_change(g, "repaired", replacements);
     return true;
   }
 
