--- a/src/group-controller-runner.cc
+++ b/src/group-controller-runner.cc
@@ -1,4 +1,4 @@
-// Orders and reports of the group controller.
+// Sends the group controller's orders and report requests.
 #include "group-controller-runner.h"
 
 #include <absl/strings/str_cat.h>
@@ -15,26 +15,26 @@
 /// Period of the controller's steps while this node holds the lease.
 constexpr absl::Duration step_period = absl::Milliseconds(40);
 
-/// Period at which other nodes look whether they hold it.
+/// Period at which other nodes check whether they hold it.
 constexpr absl::Duration idle_period = absl::Milliseconds(100);
 
-/// The controller is told this often what callers ask for, and the log.
+/// Intervals at which demand is passed to the controller and logged.
 constexpr absl::Duration demand_period = absl::Milliseconds(500);
 constexpr absl::Duration demand_log_period = absl::Seconds(2);
 
-/// An order or a report that has no answer after this long has lost it; a
-/// server answers in a few milliseconds.
+/// Timeouts of an order and of a report request; a server answers within a few
+/// milliseconds.
 constexpr absl::Duration order_timeout = absl::Milliseconds(500);
 constexpr absl::Duration report_timeout = absl::Milliseconds(150);
 
-/// A loop that was late reads answers late, so that a question waits longer by
-/// this many times its worst delay of late: once for the sending and once for
-/// the reading.
+/// A node whose loop is delayed reads answers late, so the timeout of a report
+/// request grows by this multiple of the loop's worst recent delay: once for
+/// sending and once for reading.
 constexpr double delay_allowance = 2;
 
-/// A holder's word was said this long before it was heard at most: two levels
-/// of relays pass it on every 0.18 s.
-constexpr absl::Duration max_status_age = absl::Milliseconds(500);
+/// Upper bound on the age of a holder state when it is received: two levels of
+/// relays forward it every 0.18 s.
+constexpr absl::Duration max_state_age = absl::Milliseconds(500);
 
 }  // namespace
 
@@ -42,9 +42,9 @@
                                                  lease_manager& lease)
     : node(state), manager(lease), controller(state.settings.groups) {}
 
-holder_state group_controller_runner::published_state() const {
+holder_state group_controller_runner::snapshot() const {
   holder_state out;
-  out.unresponsive = this->controller.silent_servers();
+  out.unresponsive = this->controller.unresponsive_servers();
   out.loads_begun = this->controller.loads_begun(this->node.now());
   out.shares = this->controller.shares();
   return out;
@@ -53,13 +53,14 @@
 earlier_loads group_controller_runner::known_earlier_loads() const {
   if (!this->node.last_holder_state) return {};
   return {this->node.last_holder_state->loads_begun,
-          this->node.holder_heard_at - max_status_age};
+          this->node.holder_heard_at - max_state_age};
 }
 
 std::vector<model_share> group_controller_runner::known_shares() const {
-  const bool heard_later = this->node.last_holder_state &&
-                           this->node.holder_heard_at > this->last_term_end;
-  return heard_later ? this->node.last_holder_state->shares : this->last_shares;
+  const bool received_later = this->node.last_holder_state &&
+                              this->node.holder_heard_at > this->last_term_end;
+  return received_later ? this->node.last_holder_state->shares
+                        : this->last_shares;
 }
 
 void group_controller_runner::update_demand() {
@@ -67,23 +68,23 @@
   if (!this->node.settings.groups.follow_demand) return;
   if (now - this->demand_updated < demand_period) return;
   this->demand_updated = now;
-  const demand_view known =
+  const demand_view demand =
       this->node.demand.total(this->node.own_demand.rates(now), now);
-  this->controller.update_demand(known, now);
+  this->controller.update_demand(demand, now);
   if (now - this->demand_logged < demand_log_period) return;
   this->demand_logged = now;
-  for (const auto& asked : known.models) {
+  for (const auto& item : demand.models) {
     this->node.log.state_change(
         "model_demand",
-        {{"service", asked.service},
-         {"model", asked.model},
-         {"requests_s", absl::StrCat(asked.requests)},
-         {"prompt_tokens_s", absl::StrCat(asked.prompt_tokens)},
-         {"answer_tokens_s", absl::StrCat(asked.answer_tokens)},
-         {"refused_s", absl::StrCat(asked.refused)},
+        {{"service", item.service},
+         {"model", item.model},
+         {"requests_s", absl::StrCat(item.requests)},
+         {"prompt_tokens_s", absl::StrCat(item.prompt_tokens)},
+         {"answer_tokens_s", absl::StrCat(item.answer_tokens)},
+         {"refused_s", absl::StrCat(item.refused)},
          {"window_s", absl::StrCat(demand_window::window_s)},
-         {"age_ms", absl::StrCat(absl::ToInt64Milliseconds(known.age))},
-         {"missing_halls", absl::StrCat(known.missing_halls)}},
+         {"age_ms", absl::StrCat(absl::ToInt64Milliseconds(demand.age))},
+         {"missing_halls", absl::StrCat(demand.missing_halls)}},
         now);
   }
 }
@@ -93,10 +94,10 @@
 }
 
 void group_controller_runner::sync_with_lease() {
-  const bool held = this->manager.holds();
-  if (held == this->term_active) return;
-  this->term_active = held;
-  if (held) {
+  const bool holds_lease = this->manager.holds();
+  if (holds_lease == this->term_active) return;
+  this->term_active = holds_lease;
+  if (holds_lease) {
     this->controller.start_term(this->manager.fence(),
                                 this->known_earlier_loads(),
                                 this->known_shares());
@@ -115,21 +116,23 @@
   const http_request request = this->node.adapter.write_order(order);
   const fetch_result result =
       co_await this->node.fetcher.fetch(order.address, request, order_timeout);
-  order_result end = order_result::unknown;
-  if (result.status == fetch_status::not_sent) end = order_result::unreachable;
+  order_result outcome = order_result::unknown;
+  if (result.status == fetch_status::not_sent)
+    outcome = order_result::unreachable;
   if (result.status == fetch_status::ok) {
-    end = this->node.adapter.read_order_answer(result.response);
+    outcome = this->node.adapter.read_order_answer(result.response);
   }
   this->node.metrics.count_order(order_name(order.kind),
-                                 order_result_name(end));
-  const bool conflict = end == order_result::conflict;
-  this->log_order(order, end, conflict ? result.response.body() : result.error);
-  this->controller.on_order_result(order, end, this->node.now());
+                                 order_result_name(outcome));
+  const bool conflict = outcome == order_result::conflict;
+  this->log_order(order, outcome,
+                  conflict ? result.response.body() : result.error);
+  this->controller.on_order_result(order, outcome, this->node.now());
 }
 
 void group_controller_runner::log_order(const group_order& order,
-                                        order_result end,
-                                        const std::string& why) {
+                                        order_result outcome,
+                                        const std::string& reason) {
   this->node.log.state_change(
       "order",
       {{"order", order_name(order.kind)},
@@ -138,18 +141,18 @@
        {"model", order.model},
        {"expected", absl::StrCat(order.expected_orders)},
        {"fence", absl::StrCat(order.fence)},
-       {"result", order_result_name(end)},
-       {"why", why}},
+       {"result", order_result_name(outcome)},
+       {"why", reason}},
       this->node.now());
 }
 
 net::awaitable<void> group_controller_runner::fetch_report(
     std::string server, std::string address) {
   const http_request request = this->node.adapter.write_report_request(server);
-  const absl::Duration limit =
+  const absl::Duration timeout =
       report_timeout + delay_allowance * this->node.loop_delay;
   const fetch_result result =
-      co_await this->node.fetcher.fetch(address, request, limit);
+      co_await this->node.fetcher.fetch(address, request, timeout);
   std::optional<server_report> report;
   if (result.status == fetch_status::ok) {
     report = this->node.adapter.read_report(result.response);
@@ -162,13 +165,13 @@
   this->controller.on_report(server, report, this->node.now());
 }
 
-void group_controller_runner::log_notes(
-    const std::vector<controller_event>& notes) {
-  for (const auto& note : notes) {
+void group_controller_runner::log_events(
+    const std::vector<controller_event>& events) {
+  for (const auto& change : events) {
     this->node.log.state_change(
-        note.event.c_str(),
-        {{"subject", note.subject},
-         {"why", note.reason},
+        change.event.c_str(),
+        {{"subject", change.subject},
+         {"why", change.reason},
          {"servers_rev", absl::StrCat(this->node.directory.revision())}},
         this->node.now());
   }
@@ -201,7 +204,7 @@
   const group_actions actions =
       this->controller.step(this->node.directory, this->node.routes->config(),
                             this->node.requests_seen, this->node.now());
-  this->log_notes(actions.notes);
+  this->log_events(actions.events);
   this->log_summaries(actions.summaries);
   for (const auto& order : actions.orders) {
     net::co_spawn(this->node.loop, this->send_order(order), net::detached);
--- a/src/group-formation.cc
+++ b/src/group-formation.cc
@@ -1,4 +1,4 @@
-// Chooses the hosts of new groups and tells them to join.
+// Selects the hosts of new groups and orders them to join.
 #include <absl/strings/str_cat.h>
 
 #include <algorithm>
@@ -10,38 +10,38 @@
 namespace spokesail {
 namespace {
 
-/// Epochs of one lease term; a term forms far fewer groups than this.
+/// Epochs reserved for each lease term; a term forms far fewer groups.
 constexpr int64_t epochs_per_term = 1000000;
 
-/// Time that a member of the last group of the same model takes to rejoin.
+/// Time in which a member of the last group of the same model rejoins.
 constexpr absl::Duration rejoin_time = absl::Milliseconds(200);
 
-/// Before there are requests, groups are formed once no server has come or
-/// gone for this long, so that all of them are there to choose from.
+/// Before the first request, groups are formed once no server has been added or
+/// removed for this long, so that all servers are there to choose from.
 constexpr absl::Duration stable_time = absl::Milliseconds(600);
 
 }  // namespace
 
 bool group_controller::server_count_stable(const service_state& s,
                                            absl::Time now) {
-  server_count_record& known = this->server_counts[s.service];
-  if (s.servers.size() != known.servers) known = {s.servers.size(), now};
-  return now - known.since >= stable_time;
+  server_count_record& record = this->server_counts[s.service];
+  if (s.servers.size() != record.servers) record = {s.servers.size(), now};
+  return now - record.since >= stable_time;
 }
 
 bool group_controller::free_to_join(const service_state& s,
                                     const server_entry& entry) const {
   const server_track& track = s.track(entry.id);
-  if (entry.draining || track.silent || track.pending ||
+  if (entry.draining || track.unresponsive || track.pending ||
       !track.orders_started) {
     return false;
   }
-  if (this->pending_probes.asks(entry.id)) return false;
+  if (this->pending_probes.is_outstanding(entry.id)) return false;
   if (s.index.at(entry.id).listed->expires_at != absl::InfinitePast())
     return false;
-  const group_membership& said = entry.membership;
-  return said.phase == member_phase::none ||
-         this->stopped_groups.count(said.group) != 0;
+  const group_membership& membership = entry.membership;
+  return membership.phase == member_phase::none ||
+         this->stopped_groups.count(membership.group) != 0;
 }
 
 absl::Duration group_controller::join_time(const service_state& s,
@@ -60,9 +60,9 @@
 bool group_controller::last_ran(const service_state& s,
                                 const std::string& server,
                                 const model_profile& model) const {
-  const group_membership& said = s.entry(server).membership;
-  const bool member =
-      group_model(said.group) == model.name && said.phase != member_phase::none;
+  const group_membership& membership = s.entry(server).membership;
+  const bool member = group_model(membership.group) == model.name &&
+                      membership.phase != member_phase::none;
   return member || s.track(server).last_model == model.name;
 }
 
@@ -88,16 +88,16 @@
 
 double group_controller::wanted_groups(const service_state& s,
                                        const model_profile& model) const {
-  // Hosts by domain, since a spare helps only in its own.
-  double used = 0;
+  // Spares are counted by domain, since a spare only helps in its own.
+  double hosts = 0;
   for (const auto& [domain, count] : s.usable_hosts) {
-    used += count - std::ceil(count * this->options.spare_share);
+    hosts += count - std::ceil(count * this->options.spare_share);
   }
   const auto found = this->allocations.find(s.service);
   const double share = found == this->allocations.end()
                            ? model.share
                            : found->second.shares.share(model);
-  return std::max(1.0, std::round(used * share / model.group_size));
+  return std::max(1.0, std::round(hosts * share / model.group_size));
 }
 
 double group_controller::fill_ratio(const service_state& s,
@@ -128,47 +128,49 @@
                        return this->join_time(s, a, model, now) <
                               this->join_time(s, b, model, now);
                      });
-    group_candidate f;
-    f.model = &model;
-    f.domain = domain;
-    f.members.assign(sorted.begin(),
-                     sorted.begin() + static_cast<ptrdiff_t>(size));
-    f.left = ids.size() - size;
-    std::set<std::string> ended;
-    for (const auto& id : f.members) {
+    group_candidate candidate;
+    candidate.model = &model;
+    candidate.domain = domain;
+    candidate.members.assign(sorted.begin(),
+                             sorted.begin() + static_cast<ptrdiff_t>(size));
+    candidate.free_left = ids.size() - size;
+    std::set<std::string> dissolved;
+    for (const auto& id : candidate.members) {
       const absl::Duration time = this->join_time(s, id, model, now);
-      f.slowest = std::max(f.slowest, time);
-      if (this->needs_load(s, id, model)) f.loads++;
-      const group_membership& said = s.entry(id).membership;
-      if (said.phase != member_phase::none && this->remains(said.group)) {
-        ended.insert(said.group);
+      candidate.slowest = std::max(candidate.slowest, time);
+      if (this->needs_load(s, id, model)) candidate.loads++;
+      const group_membership& membership = s.entry(id).membership;
+      if (membership.phase != member_phase::none &&
+          this->remains(membership.group)) {
+        dissolved.insert(membership.group);
       }
     }
-    f.ended = static_cast<int>(ended.size());
-    const auto order = [](const group_candidate& x) {
-      return std::tuple(x.loads, x.ended, x.slowest, -static_cast<int>(x.left));
+    candidate.dissolved = static_cast<int>(dissolved.size());
+    const auto order = [](const group_candidate& c) {
+      return std::tuple(c.loads, c.dissolved, c.slowest,
+                        -static_cast<int>(c.free_left));
     };
-    if (!best || order(f) < order(*best)) best = f;
+    if (!best || order(candidate) < order(*best)) best = candidate;
   }
   return best;
 }
 
 const model_profile* group_controller::next_model(
-    const service_state& s, const std::set<std::string>& passed_over,
+    const service_state& s, const std::set<std::string>& skipped,
     bool requests_seen) const {
-  // At first the largest groups are placed, since they fit into the fewest
-  // places; later the model that lacks most goes first.
+  // Before the first request the largest groups go first, since they fit into
+  // the fewest places; later the model with the lowest fill ratio goes first.
   const model_profile* next = nullptr;
-  double least = 1;
+  double lowest = 1;
   for (const auto& model : s.engine->models) {
     const double fill = this->fill_ratio(s, model);
-    if (fill >= 1 || passed_over.count(model.name) != 0) continue;
+    if (fill >= 1 || skipped.count(model.name) != 0) continue;
     const bool larger = next != nullptr && model.group_size > next->group_size;
     const bool better =
-        next == nullptr || (requests_seen ? fill < least : larger);
+        next == nullptr || (requests_seen ? fill < lowest : larger);
     if (!better) continue;
     next = &model;
-    least = fill;
+    lowest = fill;
   }
   return next;
 }
@@ -176,25 +178,26 @@
 void group_controller::form_groups(service_state& s, bool requests_seen,
                                    absl::Time now, group_actions& out) {
   auto free = this->free_hosts(s);
-  std::set<std::string> passed_over;
+  std::set<std::string> skipped;
   while (const model_profile* model =
-             this->next_model(s, passed_over, requests_seen)) {
+             this->next_model(s, skipped, requests_seen)) {
     const auto best = this->best_candidate(s, *model, free, now);
-    const bool at_once = best && best->loads == 0;
-    if (requests_seen && !at_once &&
+    const bool without_loads = best && best->loads == 0;
+    if (requests_seen && !without_loads &&
         this->reclaim_spares(s, *model, free, now, out)) {
-      passed_over.insert(model->name);
+      skipped.insert(model->name);
       continue;
     }
     if (!best) {
-      passed_over.insert(model->name);
+      skipped.insert(model->name);
       continue;
     }
-    // Before there are requests a load is quick and free. Later, hosts are
-    // staged first, so that they stay of use to any repair meanwhile.
+    // Before the first request a load is quick and not limited. Later, the
+    // hosts stage the weights first, so that they stay available to any repair
+    // meanwhile.
     if (requests_seen && best->loads > 0) {
       this->stage_for(s, *best, now, out);
-      passed_over.insert(model->name);
+      skipped.insert(model->name);
     } else {
       this->form_group(s, *model, best->members, now, out);
     }
@@ -223,7 +226,7 @@
   this->plans[name] = {s.service, model.name, epoch, members,
                        now + slowest + this->options.formation_slack};
   s.group_count[model.name]++;
-  out.notes.push_back(
+  out.events.push_back(
       {"group_forming", name,
        absl::StrCat("expected in ", absl::FormatDuration(slowest))});
 }
@@ -241,9 +244,9 @@
   std::vector<std::string> failed;
   for (const auto& [name, plan] : this->plans) {
     if (plan.service != s.service) continue;
-    const bool sound = this->may_form(s, plan);
-    if (!sound) failed.push_back(name);
-    if (!sound || now >= plan.deadline) continue;
+    const bool may_proceed = this->may_form(s, plan);
+    if (!may_proceed) failed.push_back(name);
+    if (!may_proceed || now >= plan.deadline) continue;
     group_order join =
         make_group_order(group_order_kind::join, name, plan.epoch);
     join.model = plan.model;
@@ -255,12 +258,12 @@
       this->send(entry, join, out);
     }
   }
-  // A group that some members joined already is dissolved by its own state.
+  // A group that some members have joined is dissolved by its own state.
   for (const auto& name : failed) {
-    const bool stands =
+    const bool exists =
         std::any_of(s.groups.begin(), s.groups.end(),
                     [&](const auto& group) { return group.name == name; });
-    if (!stands) this->plans.erase(name);
+    if (!exists) this->plans.erase(name);
   }
 }
 
