--- a/model/claim.pml
+++ b/model/claim.pml
@@ -1,13 +1,16 @@
-/* A call that may not be repeated, with an idempotency key, sent through two
- * entry hosts; each may crash. A claim is made by conditional create before
- * the call is dispatched; its answer may be lost.
+/* A call that must not be repeated is sent with an idempotency key through two
+ * entry hosts, either of which may crash. Before it dispatches the call, an
+ * entry host claims it by conditional create; the response to the create may be
+ * lost.
  *
- * Rules that can be taken out, each of which must then break an assertion:
+ * Each of these rules can be removed, and an assertion must then fail:
  *   NO_CLAIM     the call is dispatched without a claim
- *   NO_OWNER     a conflict is taken for the own claim whoever made it
- *   NO_OUTCOME   a crash's successor says "not run" without looking
+ *   NO_OWNER     any conflict counts as a claim of the entry host itself,
+ *                whoever made the claim
+ *   NO_OUTCOME   the entry host without the claim reports "not run" without
+ *                reading the outcome
  */
-byte claim_owner = 255;       /* the claim object; 255: there is none */
+byte claim_owner = 255;       /* who made the claim; 255: no claim */
 bool dispatched[2];
 byte runs = 0;
 byte lost_answers = 0;
@@ -58,7 +61,7 @@
 #ifdef NO_OUTCOME
      said_not_run++;
 #else
-     skip    /* told: it may have run; the claim's owner has the outcome */
+     skip    /* reports "may have run"; the claim's owner has the outcome */
 #endif
   fi;
 crash:
--- a/model/config.pml
+++ b/model/config.pml
@@ -1,10 +1,11 @@
-/* Configuration at one data hall: two nodes that push to each other, restart
- * with nothing kept, and are cut from the platform at will. A node takes
- * callers only once it is ready.
+/* Configuration in one data hall. Two nodes push it to each other, lose all
+ * state when they restart, and may be cut off from the platform at any time. A
+ * node serves callers only once it is ready.
  *
- * Rules that can be taken out, each of which must then break an assertion:
- *   NO_UPWARD  a node takes any revision that it hears of
- *   NO_WAIT    a restarted node is ready before it has heard its peers
+ * Each of these rules can be removed, and an assertion must then fail:
+ *   NO_UPWARD  a node applies every revision it receives, also an older one
+ *   NO_WAIT    a restarted node becomes ready before it has the revision of
+ *              its peers
  */
 #define LAST 3
 
@@ -13,7 +14,7 @@
 bool ready[2];
 byte served[2];             /* the highest revision each node served with */
 byte hall_served = 0;       /* the highest any node of the hall served with */
-chan news = [2] of { byte, byte };   /* to, revision: reordered at will */
+chan news = [2] of { byte, byte };   /* receiver, revision; in any order */
 
 active proctype operator()
 {
@@ -47,7 +48,7 @@
 #endif
      }
   :: atomic {
-       /* Ready with the highest revision of the peers it can reach. */
+       /* Become ready with the highest revision of all reachable peers. */
        !ready[me] && at[me] > 0 ->
 #ifndef NO_WAIT
        TAKE(me, at[1 - me]);
@@ -64,7 +65,9 @@
        fi
      }
   :: atomic {
-       /* Restart: nothing is kept. The balancer's callers remember. */
+       /* Restart without stored state. The load balancer then sends this node
+        * callers that the other node has served; they must not get an older
+        * revision than before. */
        ready[1 - me] ->
        at[me] = 0;
        ready[me] = false;
--- a/model/document.pml
+++ b/model/document.pml
@@ -1,15 +1,15 @@
-/* A document changed by conditional update by two writers, while answers get
- * lost. Each writer makes one write and settles it: it sends again after an
- * unanswered call, and on a conflict reads back and looks for its write id
- * among the last ids that the document remembers.
+/* Three writers change one document by conditional update, and responses may be
+ * lost. Each writer makes one write and determines whether it took effect: it
+ * resends a write whose response was lost, and after a conflict it reads the
+ * document and looks for its write id among the recent ids stored there.
  *
- * Rules that can be taken out, each of which must then break an assertion:
- *   NO_READBACK  a conflict is taken for a lost race at once
- *   NO_CONDITION the write is sent again without its condition
- *   NO_IDS       the read-back looks at the latest write alone
+ * Each of these rules can be removed, and an assertion must then fail:
+ *   NO_READBACK  a conflict counts as a lost race without reading the document
+ *   NO_CONDITION the write is sent and resent without its condition
+ *   NO_IDS       after a conflict only the id of the latest write is compared
  */
 byte version = 0;
-bool remembered[3];      /* write ids in the document */
+bool remembered[3];      /* recent write ids, in the document */
 byte latest = 255;       /* id of the latest write */
 byte effects[3];         /* how often each write took effect */
 byte lost_answers = 0;
@@ -64,7 +64,7 @@
   }
 #endif
 done:
-  /* The writer's word is the truth, and no write took effect twice. */
+  /* The writer reports the true outcome, and no write took effect twice. */
   assert(applied == (effects[id] > 0));
   assert(effects[id] <= 1);
 }
--- a/model/group.pml
+++ b/model/group.pml
@@ -1,48 +1,49 @@
 /* Lease, placement, fencing and opening of groups in one data hall.
  *
- * Two controllers take turns at one lease and one placement document, both
- * changed by conditional update. Two hosts; host 0 checks fencing numbers,
- * host 1 ignores them. A placement gives both hosts to group 1 or group 2.
- * A controller may be paused anywhere; an order may be late; the answer of
- * the platform to a write may be lost. One entry host opens a group when the
- * placement says so and both hosts report that same group and incarnation.
+ * Two controllers compete for one lease and share one placement document, both
+ * changed by conditional update. There are two hosts: host 0 checks fencing
+ * numbers, host 1 ignores them. A placement assigns both hosts to group 1 or
+ * group 2. A controller may pause at any point, an order may arrive late, and
+ * the platform's response to a write may be lost. One entry host opens a group
+ * when the placement marks it as serving and both hosts report that group and
+ * incarnation.
  *
- * Time is abstract: a lease lapses by an event, and a lapse seen by the
- * holder comes before the lapse seen by the other (the holder counts from
- * before it sent the write). Rules that can be taken out, each of which must
- * then break an assertion:
+ * Time is abstract: the lease expires by an event. The holder sees the expiry
+ * before the other controller, because it counts from before it sent the write.
+ *
+ * Each of these rules can be removed, and an assertion must then fail:
  *   NO_CAS      the placement is written without its condition
- *   NO_TAKEOVER a new holder relies on the placement before it has written
- *               it under its own number
- *   NO_FENCE    host 0 takes orders with an old number
- *   NO_REPORT   the entry host opens on the placement's word alone
+ *   NO_TAKEOVER a new holder relies on the placement before it has written it
+ *               under its own fencing number
+ *   NO_FENCE    host 0 accepts orders with an old fencing number
+ *   NO_REPORT   the entry host opens a group without the hosts' reports
  *   NO_INCARN   the entry host compares groups, but not incarnations
  */
 #define NONE 255
 
 byte lease_holder = NONE;      /* the lease document */
 byte lease_fence = 0;
-bool lapsed = true;            /* the others may take it over */
-bool holds[2];                 /* what each controller may rely on */
+bool lapsed = true;            /* the other controller may take over */
+bool holds[2];                 /* may each controller rely on the lease */
 
 byte doc_version = 0;          /* the placement document */
 byte doc_fence = 0;
 byte doc_group = 0;
 byte doc_incarnation = 0;
 bool doc_serving = false;
-byte newest_fence = 0;         /* highest number that ever wrote the document */
+byte newest_fence = 0;         /* highest fencing number written to it */
 
-byte host_fence[2];            /* what each host has accepted, and reports */
+byte host_fence[2];            /* what each host accepted and reports */
 byte host_group[2];
 byte host_incarnation[2];
 
-/* One order on its way from each controller, to either host. */
+/* At most one order in flight from each controller, to either host. */
 bool order_out[2];
 byte order_host[2];
 byte order_fence[2];
 byte order_group[2];
 byte order_incarnation[2];
-byte relied_fence = 0;         /* highest number under which an order went */
+byte relied_fence = 0;         /* highest fencing number of an order */
 
 #define MAX_FENCE 2
 #define MAX_INCARNATION 3
@@ -56,7 +57,7 @@
 start:
   do
   :: atomic {
-       /* Take the lease over, under a higher number. */
+       /* Take over the lease under a higher fencing number. */
        lapsed && lease_fence < MAX_FENCE ->
        lapsed = false;
        lease_fence++;
@@ -74,7 +75,8 @@
      }
      fresh = false;
 #ifndef NO_TAKEOVER
-     /* Write it once under the own number: no older holder's write follows. */
+     /* Write it once under the new fencing number, so that no write of a
+      * previous holder can follow. */
      if
      :: atomic {
           holds[me] && doc_version == seen_version && doc_fence <= my_fence ->
@@ -93,7 +95,7 @@
 #endif
      do
      :: fresh && holds[me] && seen_incarnation < MAX_INCARNATION ->
-        /* Checked, then perhaps paused: the write itself must hold. */
+        /* A pause may follow the check, so the write itself must be safe. */
         next = seen_group % 2 + 1;
         if
         :: atomic {
@@ -117,7 +119,7 @@
         :: atomic { doc_version != seen_version -> fresh = false }
         fi
      :: fresh && holds[me] && seen_group != 0 && !order_out[me] ->
-        /* The check of the lease, then the sending; a pause fits between. */
+        /* A pause may fall between the check of the lease and the sending. */
         atomic {
           order_out[me] = true;
           order_fence[me] = my_fence;
@@ -133,7 +135,7 @@
           fi
         }
      :: atomic {
-          /* All members ready: the group is to serve. */
+          /* All members are ready: mark the group as serving. */
           fresh && holds[me] && seen_group != 0 && !serving &&
           host_group[0] == seen_group && host_group[1] == seen_group &&
           host_incarnation[0] == seen_incarnation &&
@@ -149,7 +151,7 @@
   od
 }
 
-/* The lease lapses: first for its holder, then for the other. */
+/* The lease expires, first for its holder, then for the other controller. */
 active proctype lapse()
 {
   do
@@ -160,7 +162,7 @@
   od
 }
 
-/* Orders arrive whenever they like; some are lost. */
+/* Orders arrive at any time and in any order; some are lost. */
 active proctype network()
 {
   byte slot, host;
@@ -195,7 +197,8 @@
   od
 }
 
-/* An entry host: opens and sends one request, checked by the hosts' state. */
+/* The entry host opens the group and sends requests; the assertions compare
+ * the group with the state of the hosts. */
 active proctype entry()
 {
   byte g, i;
@@ -215,7 +218,7 @@
 #endif
        if
        :: ok ->
-          /* A group takes requests: all its members stand in it. */
+          /* A group that gets requests has all its members. */
           assert(host_group[0] == g && host_group[1] == g);
           assert(host_incarnation[0] == i && host_incarnation[1] == i);
        :: !ok -> skip
--- a/model/handover.pml
+++ b/model/handover.pml
@@ -1,12 +1,15 @@
-/* The hand-over of a host M from one serving group to another, by holders of
- * a lease. The condition on the number of orders is not among the rules: a
- * head that left cannot be opened again by a late order, with or without it. H heads group 1, M is its member. Orders may be carried out late,
- * after newer ones, and their answers may be lost. A holder may freeze after
- * it has decided on an order, lose the lease meanwhile, and send it then.
+/* Hand-over of host M from one serving group to another, by holders of a lease.
+ * H is the head of group 1 and M a member of it. Orders may be carried out
+ * late, after newer ones, and their responses may be lost. A holder may freeze
+ * after it has decided on an order, lose the lease meanwhile, and then send the
+ * order.
  *
- * Rules that can be taken out, each of which must then break the assertion:
- *   NO_LEAVE      M joins group 2 without a leave that was acknowledged
- *   NO_ANSWER     a leave without an answer is taken for done
+ * The condition on the number of orders is not among the rules below: a late
+ * order cannot open a head again that has left, with or without the condition.
+ *
+ * Each of these rules can be removed, and the assertion must then fail:
+ *   NO_LEAVE      M joins group 2 before a leave was acknowledged
+ *   NO_ANSWER     a leave without a response counts as done
  */
 #define NONE 0
 #define READY 1
@@ -17,14 +20,15 @@
 byte head_orders = 0, member_orders = 0;
 
 mtype = { open_h, leave_h, leave_m, join_m };
-/* Orders on their way: what, and the orders the sender knows of. */
+/* Orders in flight: the kind, and how many orders the sender expects the server
+ * to have begun. */
 chan late = [3] of { mtype, byte };
 byte sent = 0;
 #define MOST_SENT 7
 
 bool carried;
 
-/* A server carries an order out if it has begun as many as is expected. */
+/* A server carries out an order only if it has begun as many as expected. */
 inline carry(what, expected)
 {
   carried = false;
@@ -48,7 +52,7 @@
         :: what == leave_m && member_group == 1 ->
            member_group = 0; member_orders++; carried = true
         :: what == join_m && member_group != 2 ->
-           /* No host joins another group while the head of its own may serve. */
+           /* No host joins another group while its own head may still serve. */
            assert(!(member_group == 1 && head_phase == OPEN));
            member_group = 2; member_orders++; carried = true
         :: else
@@ -58,7 +62,7 @@
   fi
 }
 
-/* One decision of a holder, and its sending, with a freeze between them. */
+/* A holder decides on an order and sends it, and may freeze in between. */
 proctype holder()
 {
   mtype what;
@@ -68,7 +72,7 @@
   do
   :: sent < MOST_SENT ->
      atomic {
-       /* It reads what the servers say, and decides. */
+       /* Read the state of the servers and decide. */
        if
        :: head_phase == READY -> what = open_h; expected = head_orders
        :: head_phase != NONE -> what = leave_h; expected = head_orders
@@ -93,7 +97,7 @@
        :: true -> carry(what, expected);
           if
           :: carried && what == leave_h -> released = true
-          :: true                              /* the answer is lost */
+          :: true                              /* the response is lost */
           fi
        :: true                                 /* the order is lost */
        fi;
@@ -105,7 +109,7 @@
   skip
 }
 
-/* The network, which delivers what it held back at any time. */
+/* The network delivers delayed orders at any time. */
 proctype network()
 {
   mtype what;
