--- a/support/capacity.sh
+++ b/support/capacity.sh
@@ -1,11 +1,13 @@
 #!/usr/bin/env bash
-# Measures what control costs a node, from 3 nodes before 5 workers up to a
-# hall of the target size, on loopback. Usage:
+# Measures the cost of control work per node on loopback, without load, for
+# systems from 3 nodes and 5 hosts up to a data hall of the target size (57
+# nodes and 86 hosts). Usage:
 #
 #   support/capacity.sh [NODES:HOSTS...]
 #
-# For each size: bytes of control traffic, processor time and memory of a node
-# (median over the nodes), and calls on the platform in all, at rest.
+# Prints for each size the control traffic, processor time and memory of a node
+# (medians over all nodes) and the platform calls per second of all nodes
+# together.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 SPOKESAIL_BIN=$PWD/build/release
@@ -13,7 +15,7 @@
 source support/cluster.sh
 trap stop_all EXIT
 
-metric() { # NODE NAME: the sum of a metric over its labels
+metric() { # NODE NAME: prints the sum of a metric over its labels
   curl -sf "http://${entry[$1]}/metrics" |
     awk -v m="$2" '$1 ~ "^"m {s += $2} END {printf "%.0f\n", s}'
 }
@@ -55,7 +57,7 @@
     start "n$i" "$bin/spokesail" serve --settings="$work/n$i.yaml"
   done
   wait_until 10 curl -sf "http://$platform/apis/spokesail/v1/host"
-  # Several hosts share one stand-in, so nothing is placed on them.
+  # Several hosts share one stand-in engine, so no model is placed on them.
   mkdir "$work/config"
   cp example/config/workspaces.yaml "$work/config"
   "$bin/spokesail" apply --f="$work/config" --platform="$platform" \
--- a/support/cluster.sh
+++ b/support/cluster.sh
@@ -1,16 +1,20 @@
-# Starts a small system of separate processes on loopback; sourced by the
-# demo and the fault runs. Everything is stopped by id when the shell ends.
+# Shell functions that run a small cluster of separate processes on loopback;
+# sourced by capacity.sh, demo.sh, faults.sh and overhead.sh. They call stop_all
+# at their end, which stops each process by its id.
 #
-#   start_cluster DIR   a platform, two halls with two entry hosts each, and
-#                       per hall six engines in two domains and one service
+#   start_cluster DIR   starts a platform and two data halls, each with two
+#                       entry hosts, six engines in two domains and one plain
+#                       service
 #
-# Ports from $base_port on. Sets pids[NAME], platform and entry[NAME].
+# Uses the ports from $base_port on. Sets pids[NAME], platform, entry[NAME] and
+# engine[NAME].
 
 base_port=${SPOKESAIL_BASE_PORT:-21000}
 bin=${SPOKESAIL_BIN:?}
 declare -A pids entry engine
 
-# start NAME COMMAND...: runs a command in the background, output to a file.
+# start NAME COMMAND...: runs a command in the background, with its output in a
+# log file.
 start() {
   local name=$1
   shift
--- a/support/demo.sh
+++ b/support/demo.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Builds, starts two data halls on loopback, serves one streamed completion
-# and one call of a plain service, and stops everything.
+# Builds spokesail, starts two data halls on loopback, sends one streamed
+# completion and one call to a plain service, and stops all processes.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 support/setup.sh
@@ -25,7 +25,7 @@
 echo "== wait until the groups serve"
 for node in north-1 north-2 south-1 south-2; do
   wait_until 20 has_open_groups $node 2 ||
-    { echo "demo: groups of $node do not serve"; exit 1; }
+    { echo "demo: fewer than 2 open groups on $node after 20 s"; exit 1; }
   wait_until 5 curl -sf "http://${entry[$node]}/readyz"
 done
 "$bin/spokesail" status --node="${entry[north-1]}"
--- a/support/faults.sh
+++ b/support/faults.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Runs the separate processes under load with one fault or two at a time,
-# checks the records of each run, and prints a table. Usage:
+# Runs a cluster under load with one or two faults at a time, checks the records
+# of each run and prints a table. Usage:
 #
-#   support/faults.sh [FAULT...]      all faults without arguments
+#   support/faults.sh [FAULT...]      without arguments: all faults
 #
-# Bounded: each fault runs for about 20 s.
+# Each run takes about 20 s.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 SPOKESAIL_BIN=$PWD/build/release
@@ -15,7 +15,8 @@
 faults_of_platform() { curl -sf -d "$1" "http://$platform/standin/faults" >/dev/null; }
 faults_of_engine() { curl -sf -d "$2" "http://${engine[$1]}/standin/faults" >/dev/null; }
 
-# The entry host that leads the north hall.
+# Prints the entry host that holds the lease of the north hall, or north-1 if
+# none reports that it does.
 leader() {
   local i
   for i in 1 2; do
@@ -25,7 +26,8 @@
   echo north-1
 }
 
-# A host of the north hall's first group, by rank.
+# member RANK: prints the host of that rank in the first group of the north
+# hall.
 member() {
   "$bin/spokesail" status --node="${entry[north-1]}" |
     awk -v n="$(($1 + 7))" '/^group/ {split($n, a, "="); print a[1]; exit}'
--- a/support/overhead.sh
+++ b/support/overhead.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Measures what an entry host adds: the same seeded load sent through an entry
-# host and, in the same run, straight to the engine that leads a group.
+# Measures what an entry host adds to latency: in one run, sends the same seeded
+# load through an entry host and directly to the engine at the head of a group.
+# Also prints the processor time of the entry host.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 SPOKESAIL_BIN=$PWD/build/release
@@ -40,4 +41,4 @@
 load entry --entries="${entry[north-1]}"
 after=$(cpu)
 echo "processor time of the entry host: $((after - before)) ticks of 10 ms," \
-  "its control included"
+  "control work included"
