--- a/support/lint.sh
+++ b/support/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Checks the format of all sources, and lints those that the build compiles.
+# Checks the format of all sources and runs clang-tidy on src/ and platform/.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 mapfile -t files < <(git ls-files '*.cc' '*.h' | grep -v '^src/generated/')
@@ -19,7 +19,8 @@
 mapfile -t coroutines < <(grep -l 'co_await\|co_return' "${sources[@]}")
 mapfile -t plain < <(grep -L 'co_await\|co_return' "${sources[@]}")
 lint '' "${plain[@]}"
-# The path analysis of clang 14 does not follow a coroutine over its suspension
-# and reports Asio's own headers; these two of its checks are left out there.
+# The static analyzer of clang 14 does not follow a coroutine across its
+# suspension points and gives warnings in Asio's own headers, so these two checks
+# are disabled for sources with coroutines.
 lint '-clang-analyzer-core.CallAndMessage,-clang-analyzer-core.NullDereference' \
   "${coroutines[@]}"
--- a/support/model.sh
+++ b/support/model.sh
@@ -1,12 +1,13 @@
 #!/usr/bin/env bash
-# Checks each model in model/ with Spin, then each of its mutants, which must
-# fail: a rule whose absence goes unnoticed is not checked by the model.
+# Verifies each model in model/ with Spin, and each of its mutants, which lack
+# one rule. A mutant must fail, or else the model does not check that rule.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
 
-# verify MODEL [RULE]: prints "errors states"; bounded in depth and time.
+# verify MODEL [RULE]: prints the number of errors and of stored states, or
+# "timeout" or "depth" if the time limit or the search depth was too small.
 verify() {
   local dir=$work/$1-${2:-whole}
   mkdir -p "$dir"
@@ -30,9 +31,9 @@
   for rule in $(grep -oE '\bNO_[A-Z]+' "$file" | sort -u); do
     read -r errors states < <(verify "$name" "$rule")
     if [ "${errors:-0}" -gt 0 ] 2>/dev/null; then
-      echo "  without $rule: fails, as it must"
+      echo "  without $rule: fails as expected"
     else
-      echo "  without $rule: NOT NOTICED (errors ${errors:-?})"
+      echo "  without $rule: NOT DETECTED (errors ${errors:-?})"
       failed=1
     fi
   done
--- a/support/run-tests.sh
+++ b/support/run-tests.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs the tests of a build directory; failures that KNOWN-RED.txt lists are
-# printed and passed over.
+# Runs the tests of a build directory. Failures that KNOWN-RED.txt lists are
+# printed and tolerated; any other failure fails the run.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 build=$1
--- a/support/setup.sh
+++ b/support/setup.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Installs the Debian packages that the build and the tests need.
-# Checks first, so that a second run costs nothing.
+# Installs the Debian packages that the build and the tests need. If none is
+# missing, it ends without calling apt-get.
 set -euo pipefail
 
 packages=(
--- a/support/soak.sh
+++ b/support/soak.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# A short soak: the seeds that ever failed, with few callers. A seed draws the
-# same faults each time; what is checked does not depend on when they strike.
+# Short soak test with few callers: runs the seeds that have failed before. A
+# seed selects the same faults in each run; their timing varies, but the checks
+# do not depend on it.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 for seed in 3 7 32; do
--- a/support/test.sh
+++ b/support/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Sets up, builds and runs all tests. Tests that KNOWN-RED.txt names may fail;
-# each of them is printed.
+# test.sh [PRESET]: installs the required packages, builds, and runs all tests.
+# Tests listed in KNOWN-RED.txt may fail; each such failure is printed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 support/setup.sh
--- a/support/wire-names.sh
+++ b/support/wire-names.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Checks that no name of the fleet's wire stands outside platform/, deploy/
-# and the stand-ins and tests that speak it.
+# Checks that names of the platform's wire protocol do not occur in include/,
+# src/, example/ and model/. They belong in platform/, deploy/, the stand-ins and
+# the tests.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 names='X-Request-Id|X-Deadline-Ms|X-Tenant|X-Expect-Instance|X-Not-Executed'
@@ -13,7 +14,7 @@
   grep -v '^src/generated/' | xargs grep -nE "$names" || true)
 if [ -n "$found" ]; then
   echo "$found"
-  echo "wire-names: names of the platform's wire outside platform/"
+  echo "wire-names: wire protocol names found outside platform/"
   exit 1
 fi
 echo "wire-names: ok"
