--- a/support/lint.sh
+++ b/support/lint.sh
@@ -20,7 +20,7 @@
 mapfile -t plain < <(grep -L 'co_await\|co_return' "${sources[@]}")
 lint '' "${plain[@]}"
 # The static analyzer of clang 14 does not follow a coroutine across its
-# suspension points and gives warnings in Asio's own headers, so these two checks
-# are disabled for sources with coroutines.
+# suspension points and gives warnings in Asio's own headers, so these two
+# checks are disabled for sources with coroutines.
 lint '-clang-analyzer-core.CallAndMessage,-clang-analyzer-core.NullDereference' \
   "${coroutines[@]}"
--- a/support/wire-names.sh
+++ b/support/wire-names.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Checks that names of the platform's wire protocol do not occur in include/,
-# src/, example/ and model/. They belong in platform/, deploy/, the stand-ins and
-# the tests.
+# src/, example/ and model/. They belong in platform/, deploy/, the stand-ins
+# and the tests.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 names='X-Request-Id|X-Deadline-Ms|X-Tenant|X-Expect-Instance|X-Not-Executed'
