--- a/include/spokesail/crash-tracker.h
+++ b/include/spokesail/crash-tracker.h
@@ -64,7 +64,7 @@
                     absl::Time now);
 
   /// Takes what another node knows of a request.
-  void take(const crash_update& said, absl::Time now);
+  void merge_update(const crash_update& said, absl::Time now);
 
   /// Whether a request is not to be sent to any server.
   bool quarantined(const request_identity& request) const;
@@ -74,7 +74,7 @@
                            absl::Time now) const;
 
   /// Servers that ended under a request, as it counts by itself.
-  size_t count(const request_identity& request) const;
+  size_t crash_count(const request_identity& request) const;
 
   /// Whether a request is remembered.
   bool contains(const request_identity& request) const {
@@ -83,12 +83,12 @@
 
   /// Whether one more server that ends can quarantine a request.
   bool suspected(const request_identity& request) const {
-    return this->count(request) + 1 >= begun_crash_threshold;
+    return this->crash_count(request) + 1 >= begun_crash_threshold;
   }
 
   /// What to tell of a request; nothing if it is not remembered.
-  std::optional<crash_update> tell(const request_identity& request,
-                                   absl::Time now) const;
+  std::optional<crash_update> update_for(const request_identity& request,
+                                         absl::Time now) const;
 
   /// All requests under which enough servers ended, whether or not others
   /// explain it, in order.
--- a/include/spokesail/demand-window.h
+++ b/include/spokesail/demand-window.h
@@ -27,12 +27,12 @@
 
   /// Takes a request as arrived. A model beyond the bound is left out, and
   /// the answer is then false.
-  bool arrive(const std::string& service, const std::string& model,
-              const request_size& size, absl::Time now);
+  bool count_arrival(const std::string& service, const std::string& model,
+                     const request_size& size, absl::Time now);
 
   /// Takes a request that arrived as refused for want of room.
-  void refuse(const std::string& service, const std::string& model,
-              absl::Time now);
+  void count_refusal(const std::string& service, const std::string& model,
+                     absl::Time now);
 
   /// Rates over the last whole seconds, of each model ever asked for.
   std::vector<model_demand> rates(absl::Time now) const;
--- a/include/spokesail/fleet-size.h
+++ b/include/spokesail/fleet-size.h
@@ -17,11 +17,11 @@
   static constexpr absl::Duration retention = absl::Hours(2);
 
   /// Takes note of the nodes that live, this one included.
-  void note(int nodes, absl::Time now);
+  void record(int nodes, absl::Time now);
 
   /// The most nodes that lived within the memory, or at the last count if that
   /// is older; nothing before the first.
-  std::optional<int> most(absl::Time now);
+  std::optional<int> peak(absl::Time now);
 
  private:
   struct count {
--- a/include/spokesail/grant-client.h
+++ b/include/spokesail/grant-client.h
@@ -37,11 +37,11 @@
   bool request_due(absl::Time now) const;
   /// The question that is due, under a number that was not used before; its
   /// wishes are done with.
-  grant_request ask(uint64_t nonce, absl::Time now);
+  grant_request make_request(uint64_t nonce, absl::Time now);
 
   /// Takes an answer. Returns the requests that it grants; 0 if its question is
   /// not known, was answered, or is too long ago.
-  int take(const grant_response& said, absl::Time now);
+  int accept_response(const grant_response& said, absl::Time now);
 
   /// Whether a grant for a server is available.
   bool has(const std::string& server, absl::Time now) const;
--- a/include/spokesail/grant-issuer.h
+++ b/include/spokesail/grant-issuer.h
@@ -59,7 +59,7 @@
 
   /// Grants what may be sent of what is wanted. `bucket_of` returns the bucket
   /// of a server; nothing is granted if its burst is below 1.
-  grant_response answer(
+  grant_response grant(
       const grant_request& asked,
       const std::function<token_bucket_params(const server_request_count&)>&
           bucket_of,
@@ -78,8 +78,9 @@
     absl::Time refilled_at;
   };
   /// A server's account, filled up to `now`; null if there are too many.
-  bucket_state* find(const std::string& server,
-                     const token_bucket_params& bucket, absl::Time now);
+  bucket_state* find_or_create(const std::string& server,
+                               const token_bucket_params& bucket,
+                               absl::Time now);
   static void refill(bucket_state& a, absl::Time now);
 
   grant_timing timing;
--- a/include/spokesail/load-table.h
+++ b/include/spokesail/load-table.h
@@ -31,7 +31,7 @@
   /// Takes a request as sent to a place, its prompt unread.
   void begin(const std::string& endpoint, double prompt_tokens);
   /// Takes prompt tokens as read.
-  void read(const std::string& endpoint, double prompt_tokens);
+  void finish_prefill(const std::string& endpoint, double prompt_tokens);
   /// Takes a request as ended.
   void end(const std::string& endpoint);
 
@@ -47,9 +47,9 @@
   endpoint_load total(const std::string& endpoint, absl::Time now);
 
   /// Requests of this node that have begun.
-  uint64_t begun() const { return this->begun_count; }
+  uint64_t requests_begun() const { return this->begun_count; }
   /// This node's own, for its peers.
-  std::vector<endpoint_load> own() const;
+  std::vector<endpoint_load> own_loads() const;
   /// Requests of this node at one place.
   int own_running(const std::string& endpoint) const;
   /// What this data hall, or all others, have in flight by place.
--- a/include/spokesail/reducer.h
+++ b/include/spokesail/reducer.h
@@ -46,7 +46,7 @@
 struct probe_slot {
   std::string address;
   absl::Time sent = absl::InfinitePast();
-  bool out = false;
+  bool in_flight = false;
   /// When the last answered probe was sent.
   absl::Time answered = absl::InfinitePast();
 };
--- a/include/spokesail/server-limits.h
+++ b/include/spokesail/server-limits.h
@@ -43,7 +43,7 @@
 
   /// Merges a report from another node. Returns false if it is not newer than
   /// the stored state, or ends a limit that is not stored.
-  bool take(const limit_report& report, absl::Time now);
+  bool merge_report(const limit_report& report, absl::Time now);
 
   /// The limit in effect, in requests per second, if any.
   std::optional<double> find(const server_instance& server) const;
--- a/src/crash-check.cc
+++ b/src/crash-check.cc
@@ -58,15 +58,16 @@
   const absl::Time now = node.now();
   const uint64_t start = incarnation_hash(ended, run.endpoint.incarnation);
   node.crashes.add_crash(run.request, start, run.end, now);
-  node.log.write(log_category::request, "server_ended_under_request",
-                 {{"identity", to_text(run.request)},
-                  {"server", ended},
-                  {"group", run.endpoint.group},
-                  {"last_event", absl::StrCat(run.end.point)},
-                  {"begun", run.end.begun ? "1" : "0"},
-                  {"repeated", run.end.repeated ? "1" : "0"},
-                  {"servers", absl::StrCat(node.crashes.count(run.request))}},
-                 now);
+  node.log.write(
+      log_category::request, "server_ended_under_request",
+      {{"identity", to_text(run.request)},
+       {"server", ended},
+       {"group", run.endpoint.group},
+       {"last_event", absl::StrCat(run.end.point)},
+       {"begun", run.end.begun ? "1" : "0"},
+       {"repeated", run.end.repeated ? "1" : "0"},
+       {"servers", absl::StrCat(node.crashes.crash_count(run.request))}},
+      now);
 }
 
 }  // namespace spokesail
--- a/src/crash-gossip.cc
+++ b/src/crash-gossip.cc
@@ -19,7 +19,8 @@
 
 }  // namespace
 
-void crash_gossip::tell(const std::vector<std::string>& peers, absl::Time now) {
+void crash_gossip::send_updates(const std::vector<std::string>& peers,
+                                absl::Time now) {
   for (auto& m : this->spread.next_round(this->node.crashes, peers,
                                          this->node.random, now)) {
     this->link.send(m.peer, crash_report{std::move(m.news),
@@ -27,7 +28,8 @@
   }
 }
 
-void crash_gossip::ask(const std::vector<std::string>& peers, absl::Time now) {
+void crash_gossip::send_digest(const std::vector<std::string>& peers,
+                               absl::Time now) {
   const absl::Duration period = this->has_synced ? ask_period : round_period;
   if (peers.empty() || now - this->digest_sent_at < period) return;
   this->digest_sent_at = now;
@@ -35,11 +37,11 @@
   this->link.send(peer, crash_report{{}, this->node.crashes.digest(), true});
 }
 
-void crash_gossip::answer(const std::string& peer, absl::Time now) {
+void crash_gossip::send_evidence(const std::string& peer, absl::Time now) {
   crash_report out;
   out.digest = this->node.crashes.digest();
   for (const auto& request : this->node.crashes.requests_over_threshold()) {
-    const auto said = this->node.crashes.tell(request, now);
+    const auto said = this->node.crashes.update_for(request, now);
     if (said) out.evidence.push_back(*said);
     if (out.evidence.size() < crash_spread::max_updates) continue;
     this->link.send(peer, out);
@@ -48,19 +50,21 @@
   this->link.send(peer, std::move(out));
 }
 
-void crash_gossip::take(const std::string& peer, const crash_report& said) {
+void crash_gossip::handle_report(const std::string& peer,
+                                 const crash_report& said) {
   const absl::Time now = this->node.now();
   if (said.wants_reply) {
     const bool same = said.digest == this->node.crashes.digest();
     if (same) {
       this->link.send(peer, crash_report{{}, said.digest, false});
     } else {
-      this->answer(peer, now);
+      this->send_evidence(peer, now);
     }
     return;
   }
   this->has_synced = true;
-  for (const auto& news : said.evidence) this->node.crashes.take(news, now);
+  for (const auto& news : said.evidence)
+    this->node.crashes.merge_update(news, now);
 }
 
 void crash_gossip::log_quarantine_changes(absl::Time now) {
@@ -73,7 +77,7 @@
     this->node.log.state_change(
         event,
         {{"identity", to_text(request)},
-         {"servers", absl::StrCat(ledger.count(request))},
+         {"servers", absl::StrCat(ledger.crash_count(request))},
          {"remaining_s",
           absl::StrCat(absl::ToInt64Seconds(ledger.remaining(request, now)))}},
         now);
@@ -96,8 +100,8 @@
     const absl::Time now = this->node.now();
     const std::vector<std::string> peers = this->link.reachable_peers();
     this->node.crashes.expire(now);
-    this->tell(peers, now);
-    this->ask(peers, now);
+    this->send_updates(peers, now);
+    this->send_digest(peers, now);
     this->log_quarantine_changes(now);
     co_await this->node.sleep(round_period);
   }
--- a/src/crash-gossip.h
+++ b/src/crash-gossip.h
@@ -22,14 +22,14 @@
   boost::asio::awaitable<void> run();
 
   /// Takes what a peer says.
-  void take(const std::string& peer, const crash_report& said);
+  void handle_report(const std::string& peer, const crash_report& said);
 
  private:
-  void tell(const std::vector<std::string>& peers, absl::Time now);
+  void send_updates(const std::vector<std::string>& peers, absl::Time now);
   /// Asks one peer, if it is time to.
-  void ask(const std::vector<std::string>& peers, absl::Time now);
+  void send_digest(const std::vector<std::string>& peers, absl::Time now);
   /// Sends a peer all that is proved.
-  void answer(const std::string& peer, absl::Time now);
+  void send_evidence(const std::string& peer, absl::Time now);
   /// Writes down which requests have come into quarantine, or out of it.
   void log_quarantine_changes(absl::Time now);
 
--- a/src/crash-spread.cc
+++ b/src/crash-spread.cc
@@ -7,7 +7,7 @@
 
 void crash_spread::queue_changes(crash_tracker& ledger, size_t nodes) {
   for (const auto& request : ledger.take_changes()) {
-    const size_t count = ledger.count(request);
+    const size_t count = ledger.crash_count(request);
     if (count > 1) this->broadcast.insert(request);
     const bool to_all = this->broadcast.count(request) != 0;
     if (!to_all && count == 0) continue;
@@ -42,7 +42,7 @@
     if (this->broadcast.count(request) == 0 || news.size() >= max_updates)
       continue;
     --rounds;
-    const auto said = ledger.tell(request, now);
+    const auto said = ledger.update_for(request, now);
     if (said) news.push_back(*said);
   }
   std::vector<message> out;
@@ -61,7 +61,7 @@
   for (auto& [request, rounds] : this->rounds_left) {
     if (this->broadcast.count(request) != 0) continue;
     --rounds;
-    const auto said = ledger.tell(request, now);
+    const auto said = ledger.update_for(request, now);
     if (!said) continue;
     for (const auto& peer : rendezvous(to_text(request), nodes, collectors)) {
       if (peer != this->self) by_peer[peer].push_back(*said);
--- a/src/crash-tracker.cc
+++ b/src/crash-tracker.cc
@@ -14,7 +14,7 @@
 
 void crash_tracker::add_crash(const request_identity& request, uint64_t server,
                               const server_crash& end, absl::Time now) {
-  this->take(
+  this->merge_update(
       {request, {{{server, end}}, run_progress::start}, absl::ZeroDuration()},
       now);
 }
@@ -22,10 +22,10 @@
 void crash_tracker::add_progress(const request_identity& request, int64_t point,
                                  absl::Time now) {
   if (!this->contains(request)) return;
-  this->take({request, {{}, point}, absl::ZeroDuration()}, now);
+  this->merge_update({request, {{}, point}, absl::ZeroDuration()}, now);
 }
 
-void crash_tracker::take(const crash_update& said, absl::Time now) {
+void crash_tracker::merge_update(const crash_update& said, absl::Time now) {
   const auto found = this->records.find(said.identity);
   const record known = found == this->records.end() ? record{} : found->second;
   record next;
@@ -93,7 +93,7 @@
 
 bool crash_tracker::explained_by_other(const request_identity& request,
                                        uint64_t server) const {
-  const size_t own = this->count(request);
+  const size_t own = this->crash_count(request);
   return std::any_of(
       this->over_threshold.begin(), this->over_threshold.end(),
       [&](const auto& other) {
@@ -121,14 +121,14 @@
   return found->second.updated_at + retention - now;
 }
 
-size_t crash_tracker::count(const request_identity& request) const {
+size_t crash_tracker::crash_count(const request_identity& request) const {
   const auto found = this->records.find(request);
   return found == this->records.end() ? 0
                                       : found->second.evidence.crashes.size();
 }
 
-std::optional<crash_update> crash_tracker::tell(const request_identity& request,
-                                                absl::Time now) const {
+std::optional<crash_update> crash_tracker::update_for(
+    const request_identity& request, absl::Time now) const {
   const auto found = this->records.find(request);
   if (found == this->records.end()) return std::nullopt;
   const record& r = found->second;
--- a/src/demand-window.cc
+++ b/src/demand-window.cc
@@ -11,8 +11,9 @@
   return count;
 }
 
-bool demand_window::arrive(const std::string& service, const std::string& model,
-                           const request_size& size, absl::Time now) {
+bool demand_window::count_arrival(const std::string& service,
+                                  const std::string& model,
+                                  const request_size& size, absl::Time now) {
   const model_key key{service, model};
   const bool known = this->models.count(key) != 0;
   if (!known && this->models.size() >= max_models) return false;
@@ -23,8 +24,8 @@
   return true;
 }
 
-void demand_window::refuse(const std::string& service, const std::string& model,
-                           absl::Time now) {
+void demand_window::count_refusal(const std::string& service,
+                                  const std::string& model, absl::Time now) {
   const auto found = this->models.find({service, model});
   if (found == this->models.end()) return;
   current(found->second, now).refused++;
--- a/src/exchange.cc
+++ b/src/exchange.cc
@@ -57,7 +57,8 @@
 exchange::~exchange() {
   this->node.exchanges.erase(this);
   if (!this->events_started) {
-    this->node.loads.read(this->endpoint.load_key(), this->prompt_tokens);
+    this->node.loads.finish_prefill(this->endpoint.load_key(),
+                                    this->prompt_tokens);
   }
   this->node.loads.end(this->endpoint.load_key());
 }
@@ -72,7 +73,8 @@
   this->last_event = this->node.now();
   if (this->events_started) return;
   this->events_started = true;
-  this->node.loads.read(this->endpoint.load_key(), this->prompt_tokens);
+  this->node.loads.finish_prefill(this->endpoint.load_key(),
+                                  this->prompt_tokens);
 }
 
 net::awaitable<std::string> exchange::connect(bool reuse) {
@@ -135,7 +137,7 @@
       answer.keep_alive ? *answer.keep_alive - keep_margin : default_keep;
   if (time <= absl::ZeroDuration()) return;
   this->node.pool.put(this->endpoint.server, std::move(this->socket),
-                       this->node.now() + std::min(time, default_keep));
+                      this->node.now() + std::min(time, default_keep));
 }
 
 }  // namespace spokesail
--- a/src/grant-client.cc
+++ b/src/grant-client.cc
@@ -23,7 +23,7 @@
          now - this->last_request_at >= this->request_interval;
 }
 
-grant_request grant_client::ask(uint64_t nonce, absl::Time now) {
+grant_request grant_client::make_request(uint64_t nonce, absl::Time now) {
   grant_request out{nonce, {}};
   for (auto& [server, wished] : this->demand_by_server)
     out.wanted.push_back(wished);
@@ -38,7 +38,7 @@
   return out;
 }
 
-int grant_client::take(const grant_response& said, absl::Time now) {
+int grant_client::accept_response(const grant_response& said, absl::Time now) {
   const auto question = this->pending_requests.find(said.nonce);
   if (question == this->pending_requests.end()) return 0;
   const absl::Time until = question->second + this->timing.grant_lifetime;
--- a/src/grant-coordinator.cc
+++ b/src/grant-coordinator.cc
@@ -57,7 +57,7 @@
     const std::vector<limit_report>& said, absl::Time now) {
   std::vector<limit_report> out;
   for (const limit_report& report : said) {
-    this->node.limits.take(report, now);
+    this->node.limits.merge_report(report, now);
     const auto known = this->node.limits.report(report.server, now);
     if (known && known->per_s != report.per_s) out.push_back(*known);
   }
@@ -86,7 +86,7 @@
                                         absl::Time now) {
   this->update_term(now);
   std::vector<limit_report> limits = this->merge_limits(asked.limits, now);
-  grant_response out = this->ledger.answer(
+  grant_response out = this->ledger.grant(
       asked, [&](const auto& wanted) { return this->bucket_of(wanted, now); },
       now);
   out.limits = std::move(limits);
@@ -103,8 +103,9 @@
   return out;
 }
 
-void grant_coordinator::ask(absl::Time now) {
-  grant_request asked = this->node.cold.ask(this->node.random.engine(), now);
+void grant_coordinator::send_request(absl::Time now) {
+  grant_request asked =
+      this->node.cold.make_request(this->node.random.engine(), now);
   for (const server_request_count& wanted : asked.wanted) {
     const auto known =
         this->node.limits.report({wanted.server, wanted.incarnation}, now);
@@ -121,14 +122,14 @@
        {"servers_age_ms", millis(this->node.age().servers)}},
       now);
   if (holder == this->node.settings.node) {
-    this->take(holder, this->grant(holder, asked, now));
+    this->handle_response(holder, this->grant(holder, asked, now));
   } else if (!holder.empty()) {
     this->link.send(holder, std::move(asked));
   }
 }
 
-void grant_coordinator::answer(const std::string& peer,
-                               const grant_request& asked) {
+void grant_coordinator::handle_request(const std::string& peer,
+                                       const grant_request& asked) {
   if (!this->manager.holds()) return;
   grant_response out = this->grant(peer, asked, this->node.now());
   // Who hears nothing asks again.
@@ -136,12 +137,13 @@
   if (has_content) this->link.send(peer, std::move(out));
 }
 
-void grant_coordinator::take(const std::string& peer,
-                             const grant_response& said) {
+void grant_coordinator::handle_response(const std::string& peer,
+                                        const grant_response& said) {
   const absl::Time now = this->node.now();
-  for (const auto& report : said.limits) this->node.limits.take(report, now);
+  for (const auto& report : said.limits)
+    this->node.limits.merge_report(report, now);
   if (said.granted.empty()) return;
-  const int taken = this->node.cold.take(said, now);
+  const int taken = this->node.cold.accept_response(said, now);
   if (taken > 0) {
     this->node.metrics.count_cold("taken", taken);
     return;
@@ -156,10 +158,10 @@
   const absl::Time now = this->node.now();
   this->update_term(now);
   this->node.metrics.count_cold("unused", this->node.cold.expire(now));
-  if (this->node.cold.request_due(now)) this->ask(now);
+  if (this->node.cold.request_due(now)) this->send_request(now);
 }
 
-int grant_coordinator::count_cold() const {
+int grant_coordinator::count_cold_servers() const {
   const absl::Time now = this->node.now();
   const auto& servers = this->node.directory.servers();
   return static_cast<int>(
@@ -170,7 +172,7 @@
 }
 
 void grant_coordinator::set_gauges() const {
-  this->node.metrics.set_gauge("cold_servers", this->count_cold());
+  this->node.metrics.set_gauge("cold_servers", this->count_cold_servers());
   this->node.metrics.set_gauge("cold_grants_held",
                                this->node.cold.held(this->node.now()));
   this->node.metrics.set_gauge("cold_ledger_servers",
--- a/src/grant-coordinator.h
+++ b/src/grant-coordinator.h
@@ -23,16 +23,16 @@
   void step();
 
   /// Answers a peer, if this node holds the lease and has something to grant.
-  void answer(const std::string& peer, const grant_request& asked);
+  void handle_request(const std::string& peer, const grant_request& asked);
   /// Takes what the holder grants.
-  void take(const std::string& peer, const grant_response& said);
+  void handle_response(const std::string& peer, const grant_response& said);
 
   void set_gauges() const;
 
  private:
   /// Begins or ends the ledger's term with the lease.
   void update_term(absl::Time now);
-  void ask(absl::Time now);
+  void send_request(absl::Time now);
   grant_response grant(const std::string& peer, const grant_request& asked,
                        absl::Time now);
   /// Requests a second that a server bears while it is cold; 0 if this node
@@ -47,7 +47,7 @@
   std::vector<limit_report> merge_limits(const std::vector<limit_report>& said,
                                          absl::Time now);
   /// Servers that are cold by this node's news.
-  int count_cold() const;
+  int count_cold_servers() const;
 
   node_context& node;
   peer_link& link;
--- a/src/grant-issuer.cc
+++ b/src/grant-issuer.cc
@@ -67,7 +67,7 @@
   a.refilled_at = std::max(a.refilled_at, now);
 }
 
-grant_issuer::bucket_state* grant_issuer::find(
+grant_issuer::bucket_state* grant_issuer::find_or_create(
     const std::string& server, const token_bucket_params& bucket,
     absl::Time now) {
   auto found = this->buckets.find(server);
@@ -84,7 +84,7 @@
   return &a;
 }
 
-grant_response grant_issuer::answer(
+grant_response grant_issuer::grant(
     const grant_request& asked,
     const std::function<token_bucket_params(const server_request_count&)>&
         bucket_of,
@@ -94,7 +94,7 @@
   for (const server_request_count& wanted : asked.wanted) {
     const token_bucket_params bucket = bucket_of(wanted);
     if (bucket.burst < 1 || wanted.count <= 0) continue;
-    bucket_state* a = this->find(wanted.server, bucket, now);
+    bucket_state* a = this->find_or_create(wanted.server, bucket, now);
     if (a == nullptr) continue;
     const int given = static_cast<int>(
         std::min(static_cast<double>(wanted.count), a->tokens));
--- a/src/limit-gossip.cc
+++ b/src/limit-gossip.cc
@@ -12,11 +12,12 @@
 
 }  // namespace
 
-void limit_gossip::take(const std::string& peer, const limit_update& said) {
+void limit_gossip::handle_reports(const std::string& peer,
+                                  const limit_update& said) {
   const absl::Time now = this->node.now();
   for (const limit_report& report : said.reports) {
     const std::optional<double> before = this->node.limits.find(report.server);
-    if (!this->node.limits.take(report, now)) continue;
+    if (!this->node.limits.merge_report(report, now)) continue;
     if (before == report.per_s) continue;
     this->node.log.state_change(
         "server_limit_heard",
--- a/src/load-table.cc
+++ b/src/load-table.cc
@@ -14,7 +14,8 @@
   load.pending_prefill_tokens += prompt_tokens;
 }
 
-void load_table::read(const std::string& endpoint, double prompt_tokens) {
+void load_table::finish_prefill(const std::string& endpoint,
+                                double prompt_tokens) {
   const auto found = this->mine.find(endpoint);
   if (found == this->mine.end()) return;
   found->second.pending_prefill_tokens =
@@ -109,7 +110,7 @@
   return out;
 }
 
-std::vector<endpoint_load> load_table::own() const {
+std::vector<endpoint_load> load_table::own_loads() const {
   std::vector<endpoint_load> out;
   for (const auto& [endpoint, load] : this->mine) out.push_back(load);
   std::sort(out.begin(), out.end(), [](const auto& a, const auto& b) {
--- a/src/node-beat.cc
+++ b/src/node-beat.cc
@@ -36,10 +36,10 @@
 
 void node_step::send_probes() {
   for (auto& [name, slot] : this->s.probes) {
-    if (slot.out) continue;
+    if (slot.in_flight) continue;
     if (this->now < slot.sent + this->s.options.probe_period) continue;
     slot.sent = this->now;
-    slot.out = true;
+    slot.in_flight = true;
     const bool service = !this->s.hosts[name].service.empty();
     this->emit(probe_effect{name, slot.address, service});
   }
@@ -48,7 +48,7 @@
 void node_step::on(const probe_event& e) {
   const auto it = this->s.probes.find(e.host);
   if (it == this->s.probes.end() || it->second.address != e.address) return;
-  it->second.out = false;
+  it->second.in_flight = false;
   const std::string& self = this->s.options.self.name;
   observation seen;
   seen.reachable = e.reachable;
--- a/src/node-context.cc
+++ b/src/node-context.cc
@@ -104,7 +104,7 @@
 }
 
 int node_context::capacity_sharing_nodes() {
-  return std::max(this->live_nodes, this->fleet.most(this->now()).value_or(1));
+  return std::max(this->live_nodes, this->fleet.peak(this->now()).value_or(1));
 }
 
 void node_context::suspect_server(const std::string& server) {
--- a/src/node-gossip.cc
+++ b/src/node-gossip.cc
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-void node_gossip::take(const std::string& peer, const gossip& said) {
+void node_gossip::handle_gossip(const std::string& peer, const gossip& said) {
   const absl::Time now = this->node.now();
   if (said.requests_seen) this->node.requests_seen = true;
   if (said.holder) this->apply_holder_state(*said.holder);
@@ -45,7 +45,7 @@
                                     now);
     }
   } else {
-    this->far.receive(peer, said, now);
+    this->far.handle_gossip(peer, said, now);
   }
 }
 
@@ -85,14 +85,14 @@
 
 gossip node_gossip::make_gossip() const {
   gossip out;
-  out.places = this->node.loads.own();
+  out.places = this->node.loads.own_loads();
   out.holder = this->own_holder_state();
   out.requests_seen = this->node.requests_seen;
   return out;
 }
 
 void node_gossip::send_local_gossip(gossip said, absl::Time now) {
-  const uint64_t begun = this->node.loads.begun();
+  const uint64_t begun = this->node.loads.requests_begun();
   const int peers = this->link.count_reachable_peers(false);
   if (!this->local_pace.due(begun, peers, now)) return;
   this->local_pace.on_sent(begun, peers, now);
@@ -159,7 +159,7 @@
   const bool alone = this->link.listed() && this->link.size() == 0;
   const bool proved = this->node.live_nodes > 1 || alone;
   if (!proved || now - this->node.started < node_count_settle_time) return;
-  this->node.fleet.note(this->node.live_nodes, now);
+  this->node.fleet.record(this->node.live_nodes, now);
 }
 
 net::awaitable<void> node_gossip::run() {
--- a/src/node-gossip.h
+++ b/src/node-gossip.h
@@ -25,7 +25,7 @@
   /// Sends what has changed, at a bounded rate, until the process ends.
   boost::asio::awaitable<void> run();
 
-  void take(const std::string& peer, const gossip& said);
+  void handle_gossip(const std::string& peer, const gossip& said);
 
   /// Takes what a relay passed on.
   void apply_relayed(const store_update& said);
--- a/src/node-process.cc
+++ b/src/node-process.cc
@@ -86,33 +86,33 @@
 
 void node_process::connect_messages() {
   this->link.on_gossip = [this](const std::string& peer, const auto& said) {
-    this->gossip.take(peer, said);
+    this->gossip.handle_gossip(peer, said);
   };
   this->link.on_request = [this](const std::string& peer, const auto& asked) {
-    this->relay.answer(peer, asked);
+    this->relay.handle_request(peer, asked);
   };
   this->link.on_store_update = [this](const std::string& peer,
                                       const auto& said) {
-    this->relay.take(peer, said);
+    this->relay.handle_update(peer, said);
   };
   this->link.on_crashes = [this](const std::string& peer, const auto& said) {
-    this->crashes.take(peer, said);
+    this->crashes.handle_report(peer, said);
   };
   this->link.on_grant_request = [this](const std::string& peer,
                                        const auto& asked) {
-    this->cold.answer(peer, asked);
+    this->cold.handle_request(peer, asked);
   };
   this->link.on_grant_response = [this](const std::string& peer,
                                         const auto& said) {
-    this->cold.take(peer, said);
+    this->cold.handle_response(peer, said);
   };
   this->link.on_limit_update = [this](const std::string& peer,
                                       const auto& said) {
-    this->limits.take(peer, said);
+    this->limits.handle_reports(peer, said);
   };
   this->link.on_suspicion = [this](const suspicion& said) {
     for (const auto& id : said.servers) this->group_runner.suspect(id);
-    this->stalls.on_peer_suspicion(said);
+    this->stalls.handle_suspicion(said);
   };
 }
 
@@ -269,7 +269,7 @@
   m.set_gauge("limited_servers",
               static_cast<double>(this->state.limits.size()));
   m.set_gauge("live_nodes", this->state.live_nodes);
-  const auto fleet = this->state.fleet.most(this->state.now());
+  const auto fleet = this->state.fleet.peak(this->state.now());
   m.set_gauge("most_nodes", fleet.value_or(0));
   m.set_gauge("lease_held", this->lease.holds() ? 1 : 0);
   m.set_gauge("config_age_seconds",
--- a/src/peer-link.cc
+++ b/src/peer-link.cc
@@ -206,7 +206,8 @@
   }
 }
 
-void peer_link::take(const node_message& message, const udp::endpoint& from) {
+void peer_link::handle_message(const node_message& message,
+                               const udp::endpoint& from) {
   if (message.node == this->node.settings.node) return;
   const absl::Time now = this->node.now();
   peer_node& p = this->peers[message.node];
@@ -266,7 +267,7 @@
     this->node.metrics.count_peer_bytes("in", static_cast<double>(size));
     const auto message = decode_message(bytes.data(), size);
     if (message) {
-      this->take(*message, from);
+      this->handle_message(*message, from);
       continue;
     }
     this->node.log.state_change(
--- a/src/peer-link.h
+++ b/src/peer-link.h
@@ -95,8 +95,8 @@
   void apply_peer_entry(const object& o);
   /// Waits for about this long; nodes that started together drift apart.
   boost::asio::awaitable<void> jittered_sleep(absl::Duration time);
-  void take(const node_message& message,
-            const boost::asio::ip::udp::endpoint& from);
+  void handle_message(const node_message& message,
+                      const boost::asio::ip::udp::endpoint& from);
   bool reachable(const peer_node& p) const;
   bool alive(const peer_node& p) const;
   bool in_own_hall(const peer_node& p) const;
--- a/src/remote-gossip.cc
+++ b/src/remote-gossip.cc
@@ -111,8 +111,8 @@
   }
 }
 
-void remote_gossip::receive(const std::string& peer, const gossip& said,
-                            absl::Time now) {
+void remote_gossip::handle_gossip(const std::string& peer, const gossip& said,
+                                  absl::Time now) {
   const std::string hall = this->link.hall_of(peer);
   if (said.hall_nodes == 0) {
     this->node.loads.update_peer(peer, said.places, now, true);
--- a/src/remote-gossip.h
+++ b/src/remote-gossip.h
@@ -25,7 +25,8 @@
   void send_due(const gossip& own, absl::Time now);
 
   /// Takes the word of a node of another hall.
-  void receive(const std::string& peer, const gossip& said, absl::Time now);
+  void handle_gossip(const std::string& peer, const gossip& said,
+                     absl::Time now);
 
   /// Takes what a relay passed on of the other halls.
   void apply_relayed(const std::vector<endpoint_load>& places, int nodes,
--- a/src/request-admit.cc
+++ b/src/request-admit.cc
@@ -43,7 +43,7 @@
 
 bool request_handler::has_slot(const server_entry& entry, double per_s) {
   const absl::Time now = this->node.now();
-  const auto nodes = this->node.fleet.most(now);
+  const auto nodes = this->node.fleet.peak(now);
   return nodes &&
          this->node.limit_shares.has({entry.id, entry.incarnation}, per_s,
                                      *nodes, now, this->node.random);
--- a/src/request-crash.cc
+++ b/src/request-crash.cc
@@ -42,7 +42,7 @@
 bool request_handler::has_lost_servers() {
   if (this->server_lost_before) return true;
   return !this->node.crashes.empty() &&
-         this->node.crashes.count(this->identity()) > 0;
+         this->node.crashes.crash_count(this->identity()) > 0;
 }
 
 bool request_handler::may_have_run(const exchange& ex) const {
--- a/src/request-handler.cc
+++ b/src/request-handler.cc
@@ -344,7 +344,7 @@
   if (this->connected_sends == 0 || this->reserved) return true;
   const absl::Time now = this->node.now();
   auto repeat = this->node.retries.reserve(this->service->name,
-                                           this->node.fleet.most(now), now);
+                                           this->node.fleet.peak(now), now);
   if (!repeat) {
     this->log_retry("repeat_refused");
     return false;
@@ -457,8 +457,8 @@
   const bool no_room = this->node.settings.groups.follow_demand &&
                        this->sends == 0 && this->model != nullptr;
   if (no_room) {
-    this->node.own_demand.refuse(this->service->name, this->model->name,
-                            this->node.now());
+    this->node.own_demand.count_refusal(this->service->name, this->model->name,
+                                        this->node.now());
   }
   co_return co_await this->answer(r);
 }
--- a/src/server-limits.cc
+++ b/src/server-limits.cc
@@ -39,7 +39,7 @@
   this->set(server, per_s, now);
 }
 
-bool server_limits::take(const limit_report& report, absl::Time now) {
+bool server_limits::merge_report(const limit_report& report, absl::Time now) {
   const absl::Time answered_at = now - report.age;
   const auto found = this->entries.find(report.server);
   if (found != this->entries.end() &&
--- a/src/stall-detector.cc
+++ b/src/stall-detector.cc
@@ -152,7 +152,7 @@
                      });
 }
 
-void stall_detector::on_peer_suspicion(const suspicion& said) {
+void stall_detector::handle_suspicion(const suspicion& said) {
   if (said.group.empty() || !this->uses(said.group)) return;
   const absl::Time now = this->node.now();
   absl::Time& last_asked =
--- a/src/stall-detector.h
+++ b/src/stall-detector.h
@@ -26,7 +26,7 @@
   /// Takes a peer's word that a group lost servers: those are asked at once if
   /// this node has streams there, where it would else notice the silence up to
   /// half a second later and ask all members.
-  void on_peer_suspicion(const suspicion& said);
+  void handle_suspicion(const suspicion& said);
 
   /// Called with a server that does not answer.
   std::function<void(const std::string&)> on_suspect;
--- a/src/store-relay.cc
+++ b/src/store-relay.cc
@@ -110,10 +110,10 @@
                               this->node.now());
 }
 
-void store_relay::tell(const std::string& peer, int64_t from,
-                       uint64_t position) {
+void store_relay::send_update(const std::string& peer, int64_t from,
+                              uint64_t nonce) {
   store_update out;
-  out.nonce = position;
+  out.nonce = nonce;
   out.config_revision = this->node.config_revision;
   const news_age age = this->node.age();
   out.config_age = wire_age(age.config);
@@ -144,17 +144,17 @@
   return {this->node.directory.revision(), this->node.config_revision};
 }
 
-void store_relay::answer(const std::string& peer,
-                         const store_update_request& request) {
+void store_relay::handle_request(const std::string& peer,
+                                 const store_update_request& request) {
   const int64_t from =
       this->sender.on_request(peer, request.servers, this->node.now());
-  this->tell(peer, from, request.nonce);
+  this->send_update(peer, from, request.nonce);
 }
 
 void store_relay::push() {
   for (const auto& next :
        this->sender.pending_updates(this->known(), this->node.now())) {
-    this->tell(next.follower, next.from, 0);
+    this->send_update(next.follower, next.from, 0);
   }
 }
 
@@ -186,7 +186,8 @@
   return true;
 }
 
-void store_relay::take(const std::string& peer, const store_update& said) {
+void store_relay::handle_update(const std::string& peer,
+                                const store_update& said) {
   const bool asked_for = said.nonce != 0;
   this->on_update(said);
   this->apply_evacuated_halls(peer, said);
--- a/src/store-relay.h
+++ b/src/store-relay.h
@@ -46,8 +46,9 @@
   /// Passes changes on to those that ask this node.
   void push();
 
-  void answer(const std::string& peer, const store_update_request& request);
-  void take(const std::string& peer, const store_update& said);
+  void handle_request(const std::string& peer,
+                      const store_update_request& request);
+  void handle_update(const std::string& peer, const store_update& said);
 
   /// Name of the node that holds the controller's lease; empty if unknown.
   std::function<std::string()> holder;
@@ -62,7 +63,8 @@
 
  private:
   void request_update();
-  /// Sends the relay the question that `ask` has begun, as things stand now.
+  /// Sends the relay the question that `request_update` has begun, as things
+  /// stand now.
   void send_request();
   /// Asks the relay out of turn for changes that this node has missed.
   void request_missing();
@@ -71,8 +73,8 @@
   /// What this node knows of those that it could ask.
   relay_view view() const;
   relay_choice choose() const;
-  /// Takes the proof, or the news, that an answer to `ask` brings. False if
-  /// the relay does not know better than this node.
+  /// Takes the proof, or the news, that an answer to `request_update` brings.
+  /// False if the relay does not know better than this node.
   bool accept_response(const std::string& peer, const store_update& said);
   /// Takes the changes of servers that `said` brings, if they follow on what
   /// this node knows.
@@ -92,7 +94,7 @@
   void report_gap(const std::string& peer, const store_update& said);
   /// Tells a peer of all servers' changes after `from` and the rest of the
   /// news, in answer to a question or unasked (0).
-  void tell(const std::string& peer, int64_t from, uint64_t question);
+  void send_update(const std::string& peer, int64_t from, uint64_t nonce);
   /// Passes a relay over for a while.
   void exclude_relay(const std::string& peer, absl::Duration time,
                      const char* why);
--- a/test/change-relay-test.cc
+++ b/test/change-relay-test.cc
@@ -35,7 +35,7 @@
 class gap_in_link {
  public:
   absl::Duration operator()(const relay_fleet::message& m) {
-    if (m.position || m.asked || m.to != 1) return way_time;
+    if (m.question || m.asked || m.to != 1) return way_time;
     ++this->unasked;
     return this->unasked == lost_one ? relay_fleet::lost : way_time;
   }
--- a/test/cold-servers-test.cc
+++ b/test/cold-servers-test.cc
@@ -145,7 +145,7 @@
   }
 
   grant_response grant(size_t at, const grant_request& asked) {
-    return this->nodes[at].ledger.answer(
+    return this->nodes[at].ledger.grant(
         asked,
         [this](const server_request_count&) {
           return bucket_for_cold_rate(this->rate,
@@ -155,13 +155,13 @@
   }
 
   void take(size_t at, const grant_response& given, absl::Time when) {
-    this->nodes[at].allowance.take(given, when);
+    this->nodes[at].allowance.accept_response(given, when);
   }
 
   void deliver(const message& m) {
     if (m.is_grant) {
       if (this->left_out == mutant::from_receipt) {
-        this->nodes[m.to].allowance.ask(m.given.nonce, this->now);
+        this->nodes[m.to].allowance.make_request(m.given.nonce, this->now);
       }
       this->take(m.to, m.given, this->now);
       return;
@@ -174,7 +174,8 @@
     node& n = this->nodes[i];
     if (this->random.unit() < 0.02) n.believed_holder = this->holder;
     if (!n.allowance.request_due(this->now)) return;
-    const grant_request asked = n.allowance.ask(++this->nonce, this->now);
+    const grant_request asked =
+        n.allowance.make_request(++this->nonce, this->now);
     if (n.believed_holder == i) {
       this->take(i, this->grant(i, asked), this->now);
     } else {
@@ -320,14 +321,14 @@
   grant_issuer ledger;
   const auto rate = bucket_at(26);
   const grant_request asked{1, {{"s", 1, 1}}};
-  EXPECT_TRUE(ledger.answer(asked, rate, start).granted.empty());
+  EXPECT_TRUE(ledger.grant(asked, rate, start).granted.empty());
   ledger.begin_term(start);
   const absl::Time soon = start + absl::Milliseconds(599);
-  EXPECT_TRUE(ledger.answer(asked, rate, soon).granted.empty());
+  EXPECT_TRUE(ledger.grant(asked, rate, soon).granted.empty());
   const absl::Time later = start + absl::Milliseconds(600);
-  EXPECT_EQ(ledger.answer(asked, rate, later).granted.size(), 1U);
+  EXPECT_EQ(ledger.grant(asked, rate, later).granted.size(), 1U);
   ledger.end_term();
-  EXPECT_TRUE(ledger.answer(asked, rate, later).granted.empty());
+  EXPECT_TRUE(ledger.grant(asked, rate, later).granted.empty());
 }
 
 TEST(grant_issuer, grants_nothing_for_servers_that_it_does_not_know) {
@@ -336,7 +337,7 @@
   const auto rate = bucket_at(0);
   const absl::Time later = start + absl::Seconds(2);
   const grant_request asked{1, {{"s", 1, 1}}};
-  EXPECT_TRUE(ledger.answer(asked, rate, later).granted.empty());
+  EXPECT_TRUE(ledger.grant(asked, rate, later).granted.empty());
   EXPECT_EQ(ledger.size(), 0U);
 }
 
@@ -349,7 +350,7 @@
   for (size_t i = 0; i <= grant_issuer::max_servers; ++i) {
     asked.wanted.push_back({absl::StrCat("s", i), 1, 1});
   }
-  EXPECT_EQ(ledger.answer(asked, rate, later).granted.size(),
+  EXPECT_EQ(ledger.grant(asked, rate, later).granted.size(),
             grant_issuer::max_servers);
   ledger.remove_full(later + absl::Seconds(1));
   EXPECT_EQ(ledger.size(), 0U);
@@ -361,7 +362,7 @@
   const auto rate = bucket_at(26);
   const absl::Time later = start + absl::Seconds(2);
   const grant_response given =
-      ledger.answer({1, {{"s", 1, 2}, {"s", 2, 2}}}, rate, later);
+      ledger.grant({1, {{"s", 1, 2}, {"s", 2, 2}}}, rate, later);
   ASSERT_EQ(given.granted.size(), 1U);
   EXPECT_EQ(given.granted.front().incarnation, 1);
 }
@@ -370,11 +371,12 @@
   grant_client allowance;
   allowance.add_demand("s", 1);
   ASSERT_TRUE(allowance.request_due(start));
-  const grant_request asked = allowance.ask(7, start);
+  const grant_request asked = allowance.make_request(7, start);
   const grant_response given{7, asked.wanted};
   const absl::Time heard = start + absl::Milliseconds(300);
-  EXPECT_EQ(allowance.take(given, heard), 1);
-  EXPECT_EQ(allowance.take(given, heard), 0) << "an answer counts once";
+  EXPECT_EQ(allowance.accept_response(given, heard), 1);
+  EXPECT_EQ(allowance.accept_response(given, heard), 0)
+      << "an answer counts once";
   EXPECT_TRUE(allowance.has("s", heard));
   EXPECT_FALSE(allowance.has("s", start + absl::Milliseconds(500)));
   EXPECT_EQ(allowance.use("s", heard), start + absl::Milliseconds(500));
@@ -384,9 +386,10 @@
 TEST(grant_client, drops_answers_that_come_late_or_were_not_asked_for) {
   grant_client allowance;
   allowance.add_demand("s", 1);
-  const grant_response given{7, allowance.ask(7, start).wanted};
-  EXPECT_EQ(allowance.take({8, given.granted}, start), 0);
-  EXPECT_EQ(allowance.take(given, start + absl::Milliseconds(500)), 0);
+  const grant_response given{7, allowance.make_request(7, start).wanted};
+  EXPECT_EQ(allowance.accept_response({8, given.granted}, start), 0);
+  EXPECT_EQ(allowance.accept_response(given, start + absl::Milliseconds(500)),
+            0);
 }
 
 TEST(grant_client, asks_no_more_often_than_its_period_and_within_bounds) {
@@ -394,7 +397,7 @@
   for (int i = 0; i < 100; ++i) {
     for (int n = 0; n < 10; ++n) allowance.add_demand(absl::StrCat("s", i), 1);
   }
-  const grant_request asked = allowance.ask(1, start);
+  const grant_request asked = allowance.make_request(1, start);
   EXPECT_EQ(asked.wanted.size(), grant_client::max_servers);
   for (const auto& w : asked.wanted) {
     EXPECT_EQ(w.count, grant_client::max_requests);
@@ -412,11 +415,11 @@
     const absl::Time before = now;
     allowance.add_demand("s", 1);
     while (!allowance.request_due(now)) now += absl::Milliseconds(1);
-    allowance.ask(nonce, now);
+    allowance.make_request(nonce, now);
     pauses.push_back(absl::ToInt64Milliseconds(now - before));
   }
   EXPECT_EQ(pauses, (std::vector<int64_t>{0, 100, 200, 400, 800, 800}));
-  allowance.take({6, {{"s", 1, 1}}}, now);
+  allowance.accept_response({6, {{"s", 1, 1}}}, now);
   allowance.add_demand("s", 1);
   EXPECT_TRUE(allowance.request_due(now + absl::Milliseconds(100)));
 }
@@ -424,8 +427,8 @@
 TEST(grant_client, tells_what_was_granted_and_not_used) {
   grant_client allowance;
   allowance.add_demand("s", 1);
-  const grant_response given{7, allowance.ask(7, start).wanted};
-  allowance.take(given, start);
+  const grant_response given{7, allowance.make_request(7, start).wanted};
+  allowance.accept_response(given, start);
   EXPECT_EQ(allowance.expire(start + absl::Milliseconds(499)), 0);
   EXPECT_EQ(allowance.expire(start + absl::Milliseconds(500)), 1);
   EXPECT_EQ(allowance.held(start), 0);
--- a/test/crash-fleet-test.cc
+++ b/test/crash-fleet-test.cc
@@ -158,7 +158,7 @@
     r.group = up[this->random.below(up.size())];
     r.passed_some = false;
     r.repeated =
-        r.sends > 0 || this->nodes[r.node].ledger.count(r.identity) > 0;
+        r.sends > 0 || this->nodes[r.node].ledger.crash_count(r.identity) > 0;
     ++r.sends;
     r.next =
         this->now +
@@ -247,7 +247,8 @@
       if (this->random.unit() < 0.02) continue;
       const auto to = std::find(this->names.begin(), this->names.end(), m.peer);
       for (const auto& news : m.news) {
-        this->nodes[to - this->names.begin()].ledger.take(news, this->now);
+        this->nodes[to - this->names.begin()].ledger.merge_update(news,
+                                                                  this->now);
       }
     }
   }
--- a/test/crash-spread-test.cc
+++ b/test/crash-spread-test.cc
@@ -40,7 +40,8 @@
       if (this->random.unit() < this->lost) continue;
       const auto to = std::find(this->names.begin(), this->names.end(), m.peer);
       for (const auto& news : m.news) {
-        this->nodes[to - this->names.begin()].ledger.take(news, this->now);
+        this->nodes[to - this->names.begin()].ledger.merge_update(news,
+                                                                  this->now);
       }
     }
   }
--- a/test/crash-tracker-test.cc
+++ b/test/crash-tracker-test.cc
@@ -76,7 +76,7 @@
   ledger.add_crash(innocent, server(1), server_crash{4, true, true}, start);
   ledger.add_progress(innocent, 9, start);
   ledger.add_crash(innocent, server(2), server_crash{9, true, true}, start);
-  EXPECT_EQ(ledger.count(innocent), 1U);
+  EXPECT_EQ(ledger.crash_count(innocent), 1U);
   EXPECT_FALSE(ledger.quarantined(innocent));
 }
 
@@ -115,11 +115,11 @@
   for (int i = 0; i < 3; ++i) {
     ledger.add_crash(guilty, server(i), begun, start);
   }
-  const auto said = ledger.tell(guilty, start + crash_tracker::retention);
+  const auto said = ledger.update_for(guilty, start + crash_tracker::retention);
   ASSERT_TRUE(said);
   ledger.expire(start + crash_tracker::retention);
   EXPECT_TRUE(ledger.empty());
-  ledger.take(*said, start + crash_tracker::retention);
+  ledger.merge_update(*said, start + crash_tracker::retention);
   EXPECT_TRUE(ledger.empty());
   EXPECT_FALSE(ledger.quarantined(guilty));
 }
@@ -154,10 +154,10 @@
   for (int i = 0; i < 3; ++i) {
     ledger.add_crash(innocent, server(i), begun, start);
   }
-  const auto before = ledger.tell(innocent, start);
+  const auto before = ledger.update_for(innocent, start);
   ledger.add_progress(innocent, run_progress::completed, start);
   ledger.take_changes();
-  ledger.take(*before, start);
+  ledger.merge_update(*before, start);
   EXPECT_EQ(ledger.take_changes(), std::vector<request_identity>{innocent});
   EXPECT_FALSE(ledger.quarantined(innocent));
 }
--- a/test/limit-fleet-test.cc
+++ b/test/limit-fleet-test.cc
@@ -174,8 +174,9 @@
   }
 
   grant_response grant(node& holder, const grant_request& asked) {
-    for (const auto& known : asked.limits) holder.limits.take(known, this->now);
-    return holder.ledger.answer(
+    for (const auto& known : asked.limits)
+      holder.limits.merge_report(known, this->now);
+    return holder.ledger.grant(
         asked,
         [&](const server_request_count& wanted) {
           const auto takes =
@@ -189,7 +190,7 @@
     node& n = this->nodes[i];
     n.allowance.expire(this->now);
     if (!n.allowance.request_due(this->now)) return;
-    grant_request asked = n.allowance.ask(++this->nonce, this->now);
+    grant_request asked = n.allowance.make_request(++this->nonce, this->now);
     for (const auto& wanted : asked.wanted) {
       const auto known =
           n.limits.report({wanted.server, wanted.incarnation}, this->now);
@@ -197,7 +198,7 @@
     }
     if (!this->holder) return;
     if (*this->holder == i) {
-      n.allowance.take(this->grant(n, asked), this->now);
+      n.allowance.accept_response(this->grant(n, asked), this->now);
       return;
     }
     event e;
@@ -283,9 +284,10 @@
       n.limits.note_answer(*e.server, e.advertised, e.sent, this->now);
       if (e.advertised) n.informed_at.emplace(*e.server, this->now);
     } else if (!e.reports.empty()) {
-      for (const auto& report : e.reports) n.limits.take(report, this->now);
+      for (const auto& report : e.reports)
+        n.limits.merge_report(report, this->now);
     } else if (e.given) {
-      n.allowance.take(*e.given, this->now);
+      n.allowance.accept_response(*e.given, this->now);
     } else if (this->holder == e.node) {
       event answer;
       answer.node = e.from;
--- a/test/node-fixture.h
+++ b/test/node-fixture.h
@@ -145,7 +145,7 @@
       for (auto& node : this->nodes) {
         node_context& state = node->context();
         state.retries = retry_budget(this->retries, absl::InfinitePast());
-        state.fleet.note(count, state.now());
+        state.fleet.record(count, state.now());
       }
       return 0;
     });
--- a/test/node-test.cc
+++ b/test/node-test.cc
@@ -135,7 +135,7 @@
   this->start(1);
   const int sharing = this->on_loop([this] {
     node_context& state = this->nodes[0]->context();
-    state.fleet.note(9, state.now());
+    state.fleet.record(9, state.now());
     state.live_nodes = 1;
     return state.capacity_sharing_nodes();
   });
--- a/test/relay-fleet.h
+++ b/test/relay-fleet.h
@@ -174,7 +174,7 @@
     m.from = i;
     m.to = n.parent;
     m.question = true;
-    m.what = n.receiver.question(n.directory.revision());
+    m.what = n.receiver.position(n.directory.revision());
     this->send(std::move(m));
   }
 
--- a/test/repeat-budget-test.cc
+++ b/test/repeat-budget-test.cc
@@ -98,27 +98,27 @@
 
 TEST(peak_fleet_size, is_not_known_before_the_first_count) {
   peak_fleet_size fleet;
-  EXPECT_EQ(fleet.most(start), std::nullopt);
+  EXPECT_EQ(fleet.peak(start), std::nullopt);
 }
 
 // Guards against a slack that is divided by too few nodes beside a cut.
 TEST(peak_fleet_size, does_not_fall_while_nodes_may_be_cut_off) {
   peak_fleet_size fleet;
-  fleet.note(89, start);
-  for (int s = 1; s <= 3600; ++s) fleet.note(30, start + absl::Seconds(s));
-  EXPECT_EQ(fleet.most(start + absl::Hours(1)), 89);
-  fleet.note(120, start + absl::Hours(1));
-  EXPECT_EQ(fleet.most(start + absl::Hours(1)), 120);
+  fleet.record(89, start);
+  for (int s = 1; s <= 3600; ++s) fleet.record(30, start + absl::Seconds(s));
+  EXPECT_EQ(fleet.peak(start + absl::Hours(1)), 89);
+  fleet.record(120, start + absl::Hours(1));
+  EXPECT_EQ(fleet.peak(start + absl::Hours(1)), 120);
 }
 
 TEST(peak_fleet_size, falls_to_what_lived_within_its_memory) {
   peak_fleet_size fleet;
-  fleet.note(89, start);
-  fleet.note(60, start + absl::Hours(1));
-  fleet.note(30, start + absl::Hours(2));
-  EXPECT_EQ(fleet.most(start + absl::Hours(2.5)), 60);
-  EXPECT_EQ(fleet.most(start + absl::Hours(3.5)), 30);
-  EXPECT_EQ(fleet.most(start + absl::Hours(9)), 30);
+  fleet.record(89, start);
+  fleet.record(60, start + absl::Hours(1));
+  fleet.record(30, start + absl::Hours(2));
+  EXPECT_EQ(fleet.peak(start + absl::Hours(2.5)), 60);
+  EXPECT_EQ(fleet.peak(start + absl::Hours(3.5)), 30);
+  EXPECT_EQ(fleet.peak(start + absl::Hours(9)), 30);
 }
 
 }  // namespace
--- a/test/repeat-fleet-test.cc
+++ b/test/repeat-fleet-test.cc
@@ -55,7 +55,7 @@
                uint64_t seed)
       : limits(limits), faults(t), left_out(m), random{std::mt19937_64(seed)} {
     for (int i = 0; i < nodes; ++i) this->nodes.emplace_back(limits, long_ago);
-    for (auto& n : this->nodes) n.fleet.note(nodes, start);
+    for (auto& n : this->nodes) n.fleet.record(nodes, start);
   }
 
   void run(absl::Duration time) {
@@ -116,7 +116,7 @@
       const int heard = n.alone ? 1 : static_cast<int>(this->nodes.size());
       // As nodes do: a node alone may be cut off.
       if (!n.alone && this->now - n.started >= absl::Seconds(4)) {
-        n.fleet.note(heard, this->now);
+        n.fleet.record(heard, this->now);
       }
       if (places) this->send_waiting(n);
       if (this->drawn(asked)) this->ask(n);
@@ -132,7 +132,7 @@
       n.reserved.clear();
       n = node(this->limits, forgets ? long_ago : this->now);
       n.alone = alone;
-      if (forgets) n.fleet.note(static_cast<int>(this->nodes.size()), start);
+      if (forgets) n.fleet.record(static_cast<int>(this->nodes.size()), start);
     }
   }
 
@@ -149,7 +149,7 @@
   }
 
   std::optional<int> sharing(node& n) {
-    if (this->left_out != mutant::heard_now) return n.fleet.most(this->now);
+    if (this->left_out != mutant::heard_now) return n.fleet.peak(this->now);
     return n.alone ? 1 : static_cast<int>(this->nodes.size());
   }
 
--- a/test/request-admission-test.cc
+++ b/test/request-admission-test.cc
@@ -93,22 +93,22 @@
 
 TEST(prediction_error, is_zero_until_some_were_seen) {
   prediction_error error;
-  for (int i = 0; i < 4; ++i) error.note(100, 220, start);
+  for (int i = 0; i < 4; ++i) error.add_sample(100, 220, start);
   EXPECT_EQ(error.expected_ms(start), 0);
-  error.note(100, 220, start);
+  error.add_sample(100, 220, start);
   EXPECT_EQ(error.expected_ms(start), 120);
 }
 
 TEST(prediction_error, is_not_moved_by_a_few_that_stand_still) {
   prediction_error error;
-  for (int i = 0; i < 20; ++i) error.note(100, 220, start);
-  for (int i = 0; i < 9; ++i) error.note(100, 4000, start);
+  for (int i = 0; i < 20; ++i) error.add_sample(100, 220, start);
+  for (int i = 0; i < 9; ++i) error.add_sample(100, 4000, start);
   EXPECT_EQ(error.expected_ms(start), 120);
 }
 
 TEST(prediction_error, is_forgotten_with_time) {
   prediction_error error;
-  for (int i = 0; i < 20; ++i) error.note(100, 220, start);
+  for (int i = 0; i < 20; ++i) error.add_sample(100, 220, start);
   EXPECT_EQ(error.expected_ms(start + prediction_error::memory + ms), 0);
 }
 
--- a/test/request-policy-test.cc
+++ b/test/request-policy-test.cc
@@ -88,7 +88,7 @@
   load_table loads;
   loads.begin("g", 100);
   loads.begin("g", 50);
-  loads.read("g", 100);
+  loads.finish_prefill("g", 100);
   loads.update_peer("n2", {{"g", 3, 10}}, start);
   EXPECT_EQ(loads.total("g", start).running, 5);
   EXPECT_EQ(loads.total("g", start).pending_prefill_tokens, 60);
--- a/test/server-limits-test.cc
+++ b/test/server-limits-test.cc
@@ -39,11 +39,12 @@
 TEST(server_limits, ignores_older_reports) {
   server_limits limits;
   limits.note_answer(server, 1.4, at(0), at(5));
-  EXPECT_FALSE(limits.take({server, 9.0, absl::Seconds(3)}, at(6)));
+  EXPECT_FALSE(limits.merge_report({server, 9.0, absl::Seconds(3)}, at(6)));
   EXPECT_EQ(limits.find(server), 1.4);
-  EXPECT_TRUE(limits.take({server, std::nullopt, absl::Seconds(1)}, at(7)));
+  EXPECT_TRUE(
+      limits.merge_report({server, std::nullopt, absl::Seconds(1)}, at(7)));
   EXPECT_FALSE(limits.find(server));
-  EXPECT_FALSE(limits.take({server, 1.4, absl::Seconds(3)}, at(7)))
+  EXPECT_FALSE(limits.merge_report({server, 1.4, absl::Seconds(3)}, at(7)))
       << "older report restored an ended limit";
 }
 
--- a/test/uneven-demand-test.cc
+++ b/test/uneven-demand-test.cc
@@ -148,7 +148,7 @@
       double& due = this->owed[model][at];
       due += rate * step * this->factors[model] * this->parts[at];
       for (; due >= 1; due -= 1) {
-        this->windows[at].arrive("lm", model, size, this->run.now);
+        this->windows[at].count_arrival("lm", model, size, this->run.now);
       }
     }
   }
