--- a/src/node-beat.cc
+++ b/src/node-beat.cc
@@ -72,10 +72,9 @@
 absl::Time node_step::probed_at() const {
   absl::Time oldest = this->now;
   for (const auto& [name, slot] : this->s.probes) {
-    const auto observation_of =
+    const auto seen =
         this->s.presence.observation_of(this->s.options.self.name, name);
-    if (observation_of && observation_of->reachable)
-      oldest = std::min(oldest, slot.answered);
+    if (seen && seen->reachable) oldest = std::min(oldest, slot.answered);
   }
   return oldest;
 }
@@ -110,17 +109,13 @@
   b.probed_at = this->probed_at();
   b.open_models = this->open_targets();
   for (const auto& [name, slot] : this->s.probes) {
-    const auto observation_of =
+    const auto seen =
         this->s.presence.observation_of(this->s.options.self.name, name);
-    if (!observation_of) continue;
-    const absl::Time at = observation_of->reachable
-                              ? observation_of->at
-                              : observation_of->unreachable_since;
-    b.observations.push_back(
-        {name, observation_of->reachable, at, observation_of->report});
-    const bool loaded =
-        observation_of->load.running > 0 || observation_of->load.queued > 0;
-    if (loaded) b.loads.push_back({name, observation_of->load});
+    if (!seen) continue;
+    const absl::Time at = seen->reachable ? seen->at : seen->unreachable_since;
+    b.observations.push_back({name, seen->reachable, at, seen->report});
+    const bool loaded = seen->load.running > 0 || seen->load.queued > 0;
+    if (loaded) b.loads.push_back({name, seen->load});
   }
   return b;
 }
@@ -154,14 +149,14 @@
     // start of its process said.
     this->s.presence.remove_prober(b.from.name);
     bool all_taken = m.clock.known();
-    for (const auto& observation_of : b.observations) {
-      all_taken &= this->s.hosts.count(observation_of.host) != 0;
+    for (const auto& reported : b.observations) {
+      all_taken &= this->s.hosts.count(reported.host) != 0;
       if (!all_taken) break;
       observation seen;
-      seen.reachable = observation_of.reachable;
-      seen.report = observation_of.report;
-      seen.at = m.clock.local(observation_of.at);
-      this->s.presence.observe(b.from.name, observation_of.host, seen);
+      seen.reachable = reported.reachable;
+      seen.report = reported.report;
+      seen.at = m.clock.local(reported.at);
+      this->s.presence.observe(b.from.name, reported.host, seen);
     }
     // What could not be taken, for a host or a clock that this node has yet
     // to hear of, is wanted again.
--- a/src/request-admission.cc
+++ b/src/request-admission.cc
@@ -93,8 +93,8 @@
 /// How likely a first event that is expected after `first_ms` comes within
 /// `left_ms`.
 static double chance_in_time(double first_ms, double left_ms,
-                             double mean_goal_ms) {
-  const double spread = spread_share * mean_goal_ms;
+                             double mean_goal) {
+  const double spread = spread_share * mean_goal;
   return std::clamp(0.5 + (left_ms - first_ms) / (2 * spread), 0.0, 1.0);
 }
 
@@ -104,13 +104,13 @@
 static double requests_made_late(const admission_request& request,
                                  const admission_view& view,
                                  const group_option& option, double error_ms,
-                                 double group_rate, double mean_goal_ms) {
+                                 double group_rate, double mean_goal) {
   const double usual = view.engine.mean_prompt_tokens;
   const group_option with = joined(option, request.size.prompt);
   const double next =
       error_ms + predict_first_event_ms(view.engine, view.model, with, usual);
-  const double spread = spread_share * mean_goal_ms;
-  if (next <= mean_goal_ms - spread) return 0;
+  const double spread = spread_share * mean_goal;
+  if (next <= mean_goal - spread) return 0;
   const double busy = group_rate * read_ms(view, usual);
   if (busy >= 1 - least_spare) return no_end;
   const double others =
@@ -166,8 +166,8 @@
                                 absl::Time now) {
   pool_state& pool = this->pools[request.pool];
   const double goal = millis(request.due - request.arrived);
-  pool.mean_goal_ms +=
-      (pool.mean_goal_ms == 0 ? 1 : goal_weight) * (goal - pool.mean_goal_ms);
+  pool.mean_goal +=
+      (pool.mean_goal == 0 ? 1 : goal_weight) * (goal - pool.mean_goal);
   this->check_early_retry(request, now);
   if (this->bytes + request.bytes > this->limits.bytes) return false;
   queued_request entry;
@@ -320,12 +320,11 @@
         seen.error_ms + predict_first_event_ms(view.engine, view.model, option,
                                                request.size.prompt);
     if (first > patience) continue;
-    const double chance =
-        chance_in_time(first, seen.left_ms, pool.mean_goal_ms);
+    const double chance = chance_in_time(first, seen.left_ms, pool.mean_goal);
     const double gain = late_worth + (1 - late_worth) * chance;
     const double left =
         gain - requests_made_late(request, view, option, seen.error_ms,
-                                  seen.group_rate, pool.mean_goal_ms);
+                                  seen.group_rate, pool.mean_goal);
     if (left <= best) continue;
     best = left;
     out.option = i;
