--- a/test/gossip-pacer-test.cc
+++ b/test/gossip-pacer-test.cc
@@ -79,7 +79,7 @@
     for (auto& r : running) {
       if (!r.read && now >= r.read_at) {
         r.read = true;
-        tables[static_cast<size_t>(r.node)].read(r.group, r.prompt);
+        tables[static_cast<size_t>(r.node)].finish_prefill(r.group, r.prompt);
       }
       if (now >= r.ends_at) tables[static_cast<size_t>(r.node)].end(r.group);
     }
@@ -123,10 +123,10 @@
       const absl::Duration since = now - began + n * tick;
       if (since % look_period != absl::ZeroDuration()) continue;
       const auto at = static_cast<size_t>(n);
-      const uint64_t begun = at_once ? tables[at].begun() : 0;
+      const uint64_t begun = at_once ? tables[at].requests_begun() : 0;
       if (!paces[at].due(begun, nodes - 1, now)) continue;
       paces[at].on_sent(begun, nodes - 1, now);
-      sent.push_back({now + way, n, tables[at].own()});
+      sent.push_back({now + way, n, tables[at].own_loads()});
     }
   }
   return met / count;
--- a/test/scale-bench.cc
+++ b/test/scale-bench.cc
@@ -156,7 +156,8 @@
   absl::Time now = absl::FromUnixSeconds(1000);
   for (auto _ : state) {
     now += absl::Seconds(1);
-    benchmark::DoNotOptimize(shares.take(engine, room, wanted, need, now));
+    benchmark::DoNotOptimize(
+        shares.add_sample(engine, room, wanted, need, now));
   }
 }
 BENCHMARK(divide_hosts_by_demand)->Arg(174)->Arg(620)->Arg(850);
