--- a/include/spokesail/crash-tracker.h
+++ b/include/spokesail/crash-tracker.h
@@ -86,7 +86,7 @@
 
   /// Whether one more crash can quarantine a request.
   bool suspected(const request_identity& request) const {
-    return this->count(request) + 1 >= begun_crash_threshold;
+    return this->crash_count(request) + 1 >= begun_crash_threshold;
   }
 
   /// The evidence on a request, to be sent to other nodes; nothing if there is
--- a/src/crash-tracker.cc
+++ b/src/crash-tracker.cc
@@ -97,7 +97,7 @@
 
 bool crash_tracker::explained_by_other(const request_identity& request,
                                        uint64_t server) const {
-  const size_t own = this->count(request);
+  const size_t own = this->crash_count(request);
   return std::any_of(
       this->over_threshold.begin(), this->over_threshold.end(),
       [&](const auto& other) {
@@ -126,7 +126,7 @@
   return found->second.updated_at + retention - now;
 }
 
-size_t crash_tracker::count(const request_identity& request) const {
+size_t crash_tracker::crash_count(const request_identity& request) const {
   const auto found = this->records.find(request);
   return found == this->records.end() ? 0
                                       : found->second.evidence.crashes.size();
--- a/src/store-relay.cc
+++ b/src/store-relay.cc
@@ -145,8 +145,8 @@
   return {this->node.directory.revision(), this->node.config_revision};
 }
 
-void store_relay::answer(const std::string& peer,
-                         const store_update_request& request) {
+void store_relay::handle_request(const std::string& peer,
+                                 const store_update_request& request) {
   const int64_t from =
       this->sender.on_request(peer, request.servers, this->node.now());
   this->send_update(peer, from, request.nonce);
--- a/test/uneven-demand-test.cc
+++ b/test/uneven-demand-test.cc
@@ -148,7 +148,7 @@
       double& due = this->arrivals_due[model][at];
       due += rate * step * this->factors[model] * this->hall_fractions[at];
       for (; due >= 1; due -= 1) {
-        this->windows[at].arrive("lm", model, size, this->run.now);
+        this->windows[at].count_arrival("lm", model, size, this->run.now);
       }
     }
   }
