--- a/include/spokesail/crash-tracker.h
+++ b/include/spokesail/crash-tracker.h
@@ -77,7 +77,7 @@
 
   /// Number of servers that crashed under a request, including those that
   /// another request explains.
-  size_t count(const request_identity& request) const;
+  size_t crash_count(const request_identity& request) const;
 
   /// Whether there is evidence on a request.
   bool contains(const request_identity& request) const {
--- a/include/spokesail/fleet-size.h
+++ b/include/spokesail/fleet-size.h
@@ -17,11 +17,11 @@
   static constexpr absl::Duration retention = absl::Hours(2);
 
   /// Records the number of live nodes, including this one.
-  void note(int nodes, absl::Time now);
+  void record(int nodes, absl::Time now);
 
   /// Returns the maximum within the window, or the last count if it is older
   /// than the window; nothing before the first count.
-  std::optional<int> most(absl::Time now);
+  std::optional<int> peak(absl::Time now);
 
  private:
   struct count {
--- a/src/crash-check.cc
+++ b/src/crash-check.cc
@@ -69,7 +69,7 @@
                   {"last_event", absl::StrCat(run.crash.point)},
                   {"begun", run.crash.begun ? "1" : "0"},
                   {"repeated", run.crash.repeated ? "1" : "0"},
-                  {"servers", absl::StrCat(node.crashes.count(run.request))}},
+                  {"servers", absl::StrCat(node.crashes.crash_count(run.request))}},
                  now);
 }
 
--- a/src/crash-gossip.cc
+++ b/src/crash-gossip.cc
@@ -50,7 +50,7 @@
   this->link.send(peer, std::move(out));
 }
 
-void crash_gossip::take(const std::string& peer, const crash_report& report) {
+void crash_gossip::handle_report(const std::string& peer, const crash_report& report) {
   const absl::Time now = this->node.now();
   if (report.wants_reply) {
     const bool same = report.digest == this->node.crashes.digest();
@@ -76,7 +76,7 @@
     this->node.log.state_change(
         event,
         {{"identity", to_text(request)},
-         {"servers", absl::StrCat(tracker.count(request))},
+         {"servers", absl::StrCat(tracker.crash_count(request))},
          {"remaining_s",
           absl::StrCat(absl::ToInt64Seconds(tracker.remaining(request, now)))}},
         now);
--- a/src/crash-gossip.h
+++ b/src/crash-gossip.h
@@ -22,7 +22,7 @@
   boost::asio::awaitable<void> run();
 
   /// Handles a report from a peer: merges its evidence, or answers its digest.
-  void take(const std::string& peer, const crash_report& report);
+  void handle_report(const std::string& peer, const crash_report& report);
 
  private:
   /// Sends the gossip messages of one round.
--- a/src/crash-spread.cc
+++ b/src/crash-spread.cc
@@ -7,7 +7,7 @@
 
 void crash_spread::queue_changes(crash_tracker& tracker, size_t nodes) {
   for (const auto& request : tracker.take_changes()) {
-    const size_t count = tracker.count(request);
+    const size_t count = tracker.crash_count(request);
     if (count > 1) this->broadcast.insert(request);
     const bool to_all = this->broadcast.count(request) != 0;
     if (!to_all && count == 0) continue;
--- a/src/grant-coordinator.cc
+++ b/src/grant-coordinator.cc
@@ -123,13 +123,13 @@
        {"servers_age_ms", millis(this->node.age().servers)}},
       now);
   if (holder == this->node.settings.node) {
-    this->take(holder, this->grant(holder, request, now));
+    this->handle_response(holder, this->grant(holder, request, now));
   } else if (!holder.empty()) {
     this->link.send(holder, std::move(request));
   }
 }
 
-void grant_coordinator::answer(const std::string& peer,
+void grant_coordinator::handle_request(const std::string& peer,
                                const grant_request& request) {
   if (!this->manager.holds()) return;
   grant_response out = this->grant(peer, request, this->node.now());
@@ -138,7 +138,7 @@
   if (has_content) this->link.send(peer, std::move(out));
 }
 
-void grant_coordinator::take(const std::string& peer,
+void grant_coordinator::handle_response(const std::string& peer,
                              const grant_response& response) {
   const absl::Time now = this->node.now();
   for (const auto& report : response.limits)
--- a/src/grant-coordinator.h
+++ b/src/grant-coordinator.h
@@ -26,9 +26,9 @@
 
   /// Responds to a peer's grant request if this node holds the lease. Sends
   /// nothing if there is neither a grant nor a newer rate limit to return.
-  void answer(const std::string& peer, const grant_request& request);
+  void handle_request(const std::string& peer, const grant_request& request);
   /// Adds the grants and rate limits of a response from the lease holder.
-  void take(const std::string& peer, const grant_response& response);
+  void handle_response(const std::string& peer, const grant_response& response);
 
   void set_gauges() const;
 
--- a/src/group-controller-runner.cc
+++ b/src/group-controller-runner.cc
@@ -42,7 +42,7 @@
                                                  lease_manager& lease)
     : node(state), manager(lease), controller(state.settings.groups) {}
 
-holder_state group_controller_runner::snapshot() const {
+holder_state group_controller_runner::published_state() const {
   holder_state out;
   out.unresponsive = this->controller.unresponsive_servers();
   out.loads_begun = this->controller.loads_begun(this->node.now());
--- a/src/group-controller-runner.h
+++ b/src/group-controller-runner.h
@@ -20,7 +20,7 @@
   boost::asio::awaitable<void> run();
 
   /// The holder state that is sent along with the lease.
-  holder_state snapshot() const;
+  holder_state published_state() const;
 
   /// Reports a server that may be down to the controller.
   void suspect(const std::string& server);
--- a/src/limit-gossip.h
+++ b/src/limit-gossip.h
@@ -18,7 +18,7 @@
   boost::asio::awaitable<void> run();
 
   /// Merges the reports of a peer.
-  void take(const std::string& peer, const limit_update& update);
+  void handle_reports(const std::string& peer, const limit_update& update);
 
  private:
   node_context& node;
--- a/src/remote-gossip.cc
+++ b/src/remote-gossip.cc
@@ -114,7 +114,7 @@
   }
 }
 
-void remote_gossip::receive(const std::string& peer, const gossip& report,
+void remote_gossip::handle_gossip(const std::string& peer, const gossip& report,
                             absl::Time now) {
   const std::string hall = this->link.hall_of(peer);
   if (report.hall_nodes == 0) {
--- a/src/store-relay.cc
+++ b/src/store-relay.cc
@@ -112,9 +112,9 @@
 }
 
 void store_relay::send_update(const std::string& peer, int64_t from,
-                              uint64_t request_nonce) {
+                              uint64_t nonce) {
   store_update out;
-  out.nonce = request_nonce;
+  out.nonce = nonce;
   out.config_revision = this->node.config_revision;
   const news_age age = this->node.age();
   out.config_age = wire_age(age.config);
@@ -187,7 +187,7 @@
   return true;
 }
 
-void store_relay::take(const std::string& peer, const store_update& update) {
+void store_relay::handle_update(const std::string& peer, const store_update& update) {
   const bool requested = update.nonce != 0;
   this->on_update(update);
   this->apply_evacuated_halls(peer, update);
--- a/src/store-relay.h
+++ b/src/store-relay.h
@@ -46,8 +46,8 @@
   /// Sends new changes to followers.
   void push();
 
-  void answer(const std::string& peer, const store_update_request& request);
-  void take(const std::string& peer, const store_update& update);
+  void handle_request(const std::string& peer, const store_update_request& request);
+  void handle_update(const std::string& peer, const store_update& update);
 
   /// Name of the node that holds the controller's lease; empty if unknown.
   std::function<std::string()> holder;
@@ -97,7 +97,7 @@
   /// Sends a peer all changes of servers after `from` and the rest of the
   /// update, in response to a request or unrequested (0).
   void send_update(const std::string& peer, int64_t from,
-                   uint64_t request_nonce);
+                   uint64_t nonce);
   /// Excludes a relay for a while.
   void exclude_relay(const std::string& peer, absl::Duration time,
                      const char* why);
--- a/test/crash-tracker-test.cc
+++ b/test/crash-tracker-test.cc
@@ -78,7 +78,7 @@
   tracker.add_crash(harmless, server(1), server_crash{4, true, true}, start);
   tracker.add_progress(harmless, 9, start);
   tracker.add_crash(harmless, server(2), server_crash{9, true, true}, start);
-  EXPECT_EQ(tracker.count(harmless), 1U);
+  EXPECT_EQ(tracker.crash_count(harmless), 1U);
   EXPECT_FALSE(tracker.quarantined(harmless));
 }
 
--- a/test/demand-window-test.cc
+++ b/test/demand-window-test.cc
@@ -16,8 +16,8 @@
   demand_window window;
   for (int i = 0; i < 30 * 5; ++i) {
     const absl::Time at = start + i * absl::Seconds(1) / 30;
-    EXPECT_TRUE(window.arrive("lm", "large", {100, 20}, at));
-    if (i % 3 == 0) window.refuse("lm", "large", at);
+    EXPECT_TRUE(window.count_arrival("lm", "large", {100, 20}, at));
+    if (i % 3 == 0) window.count_refusal("lm", "large", at);
   }
   const auto rates = window.rates(start + absl::Milliseconds(4900));
   ASSERT_EQ(rates.size(), 1U);
@@ -31,7 +31,7 @@
 /// the missing report is not taken for a lost one.
 TEST(demand_window, reports_zero_rates_for_a_model_without_requests) {
   demand_window window;
-  window.arrive("lm", "large", {100, 20}, start);
+  window.count_arrival("lm", "large", {100, 20}, start);
   const auto rates = window.rates(start + absl::Seconds(60));
   ASSERT_EQ(rates.size(), 1U);
   EXPECT_EQ(rates[0].requests, 0);
@@ -41,7 +41,7 @@
   demand_window window;
   const int most = static_cast<int>(demand_window::max_models);
   for (int i = 0; i < 2 * most; ++i) {
-    const bool counted = window.arrive("lm", absl::StrCat("m", i), {}, start);
+    const bool counted = window.count_arrival("lm", absl::StrCat("m", i), {}, start);
     EXPECT_EQ(counted, i < most);
   }
   EXPECT_EQ(window.rates(start).size(), demand_window::max_models);
--- a/test/gossip-pacer-test.cc
+++ b/test/gossip-pacer-test.cc
@@ -80,7 +80,7 @@
     for (auto& r : running) {
       if (!r.prefilled && now >= r.prefilled_at) {
         r.prefilled = true;
-        tables[static_cast<size_t>(r.node)].read(r.group, r.prompt);
+        tables[static_cast<size_t>(r.node)].finish_prefill(r.group, r.prompt);
       }
       if (now >= r.ends_at) tables[static_cast<size_t>(r.node)].end(r.group);
     }
@@ -124,10 +124,10 @@
       const absl::Duration since = now - began + n * tick;
       if (since % check_period != absl::ZeroDuration()) continue;
       const auto at = static_cast<size_t>(n);
-      const uint64_t begun = at_once ? tables[at].begun() : 0;
+      const uint64_t begun = at_once ? tables[at].requests_begun() : 0;
       if (!pacers[at].due(begun, nodes - 1, now)) continue;
       pacers[at].on_sent(begun, nodes - 1, now);
-      sent.push_back({now + link_delay, n, tables[at].own()});
+      sent.push_back({now + link_delay, n, tables[at].own_loads()});
     }
   }
   return pending_met / count;
