--- a/src/node-gossip.h
+++ b/src/node-gossip.h
@@ -36,7 +36,7 @@
 
   /// The holder's current state: this node's own while it holds the lease, or
   /// the last one received.
-  std::optional<holder_state> holder_said() const;
+  std::optional<holder_state> current_holder_state() const;
 
   /// Fills in the parts of a relay's message that do not come from the store.
   void fill_update(store_update& out) const;
