--- a/src/config-feed.cc
+++ b/src/config-feed.cc
@@ -55,21 +55,21 @@
 }
 
 void config_feed::apply_listing(const object_listing& listing,
-                                absl::Time proof) {
+                                absl::Time verified_at) {
   this->listed_at = this->node.now();
   for (const auto& o : listing.objects) this->apply_config(o);
-  this->advance_verified_at(proof);
+  this->advance_verified_at(verified_at);
 }
 
 absl::Duration config_feed::apply_changes(const object_changes& changes,
                                           absl::Time sent) {
   // A watch that timed out verifies that nothing changed during its wait.
-  const absl::Time proof =
+  const absl::Time verified_at =
       changes.objects.empty()
           ? std::min(this->node.now(), sent + this->current_watch_wait)
           : sent;
   for (const auto& o : changes.objects) this->apply_config(o);
-  this->advance_verified_at(proof);
+  this->advance_verified_at(verified_at);
   return absl::ZeroDuration();
 }
 
@@ -98,10 +98,10 @@
   this->on_change();
 }
 
-void config_feed::advance_verified_at(absl::Time proof) {
+void config_feed::advance_verified_at(absl::Time verified_at) {
   if (this->unreadable_revision > this->node.config_revision) return;
   this->node.config_verified_at =
-      std::max(this->node.config_verified_at, proof);
+      std::max(this->node.config_verified_at, verified_at);
 }
 
 }  // namespace spokesail
--- a/src/config-feed.h
+++ b/src/config-feed.h
@@ -31,7 +31,8 @@
   int64_t known_revision() const override { return 0; }
   bool allows_stale_copy() const override;
   bool contains_requested(const object_listing& listing) const override;
-  void apply_listing(const object_listing& listing, absl::Time proof) override;
+  void apply_listing(const object_listing& listing,
+                     absl::Time verified_at) override;
   absl::Duration apply_changes(const object_changes& changes,
                                absl::Time sent) override;
 
@@ -39,7 +40,7 @@
   void apply_config(const object& o);
   /// Records that the configuration in force was current at `proof`, unless the
   /// store has a later one that could not be read.
-  void advance_verified_at(absl::Time proof);
+  void advance_verified_at(absl::Time verified_at);
 
   node_context& node;
   /// Latest revision of the configuration announced by a relay.
--- a/src/config-reader.cc
+++ b/src/config-reader.cc
@@ -118,20 +118,20 @@
 template <typename T>
 void diff_named(const std::string& kind, const std::vector<T>& from,
                 const std::vector<T>& to, std::vector<std::string>& lines) {
-  const auto has = [](const std::vector<T>& all, const T& one) {
+  const auto find_in = [](const std::vector<T>& all, const T& one) {
     return std::find_if(all.begin(), all.end(),
                         [&](const T& other) { return other.name == one.name; });
   };
   for (const auto& one : from) {
-    if (has(to, one) == to.end()) {
+    if (find_in(to, one) == to.end()) {
       lines.push_back(absl::StrCat("- ", kind, " ", one.name));
     }
   }
   for (const auto& one : to) {
-    const auto old = has(from, one);
-    if (old == from.end()) {
+    const auto previous = find_in(from, one);
+    if (previous == from.end()) {
       lines.push_back(absl::StrCat("+ ", kind, " ", one.name));
-    } else if (!(*old == one)) {
+    } else if (!(*previous == one)) {
       lines.push_back(absl::StrCat("~ ", kind, " ", one.name));
     }
   }
--- a/src/connection-pool.cc
+++ b/src/connection-pool.cc
@@ -9,13 +9,13 @@
     const std::string& server, absl::Time now) {
   const auto found = this->by_server.find(server);
   if (found == this->by_server.end()) return std::nullopt;
-  auto& kept = found->second;
-  while (!kept.empty()) {
-    auto item = std::move(kept.back());
-    kept.pop_back();
+  auto& idle = found->second;
+  while (!idle.empty()) {
+    auto item = std::move(idle.back());
+    idle.pop_back();
     // Unread bytes on an idle connection belong to no request, so it is not
     // reused, nor is a closed one.
-    if (now < item.until && detail::is_open_and_idle(item.socket)) {
+    if (now < item.expires_at && detail::is_open_and_idle(item.socket)) {
       return std::move(item.socket);
     }
   }
@@ -24,13 +24,13 @@
 
 void connection_pool::put(const std::string& server,
                           boost::asio::ip::tcp::socket socket,
-                          absl::Time until) {
-  this->by_server[server].push_back({std::move(socket), until});
+                          absl::Time expires_at) {
+  this->by_server[server].push_back({std::move(socket), expires_at});
 }
 
 void connection_pool::expire(absl::Time now) {
-  for (auto& [server, kept] : this->by_server) {
-    std::erase_if(kept, [&](auto& item) { return now >= item.until; });
+  for (auto& [server, idle] : this->by_server) {
+    std::erase_if(idle, [&](auto& item) { return now >= item.expires_at; });
   }
   std::erase_if(this->by_server,
                 [](const auto& item) { return item.second.empty(); });
@@ -38,7 +38,7 @@
 
 size_t connection_pool::size() const {
   size_t sum = 0;
-  for (const auto& [server, kept] : this->by_server) sum += kept.size();
+  for (const auto& [server, idle] : this->by_server) sum += idle.size();
   return sum;
 }
 
--- a/src/connection-pool.h
+++ b/src/connection-pool.h
@@ -25,7 +25,7 @@
 
   /// Adds a connection that may be reused until `until`.
   void put(const std::string& server, boost::asio::ip::tcp::socket socket,
-           absl::Time until);
+           absl::Time expires_at);
 
   /// Closes expired connections.
   void expire(absl::Time now);
@@ -34,13 +34,13 @@
   size_t size() const;
 
  private:
-  struct kept {
+  struct idle_connection {
     boost::asio::ip::tcp::socket socket;
-    absl::Time until;
+    absl::Time expires_at;
   };
 
   boost::asio::any_io_executor executor;
-  std::map<std::string, std::vector<kept>> by_server;
+  std::map<std::string, std::vector<idle_connection>> by_server;
 };
 
 }  // namespace spokesail
--- a/src/node-beat.cc
+++ b/src/node-beat.cc
@@ -50,18 +50,18 @@
   if (it == this->s.probes.end() || it->second.address != e.address) return;
   it->second.out = false;
   const std::string& self = this->s.options.self.name;
-  observation seen;
-  seen.reachable = e.reachable;
-  seen.report = e.report;
-  seen.load = e.load;
-  seen.at = e.sent;
+  observation observed;
+  observed.reachable = e.reachable;
+  observed.report = e.report;
+  observed.load = e.load;
+  observed.at = e.sent;
   if (e.reachable) {
     it->second.answered = e.sent;
-  } else if (const auto before =
+  } else if (const auto previous =
                  this->s.presence.observation_of(self, e.host)) {
-    seen.report = before->report;
+    observed.report = previous->report;
   }
-  if (!this->s.presence.observe(self, e.host, seen)) return;
+  if (!this->s.presence.observe(self, e.host, observed)) return;
   this->s.observations_epoch++;
   this->s.heartbeat_due = true;
   if (!e.reachable) this->log("host_unreachable", {{"host", e.host}});
@@ -72,10 +72,9 @@
 absl::Time node_step::probed_at() const {
   absl::Time oldest = this->now;
   for (const auto& [name, slot] : this->s.probes) {
-    const auto observation_of =
+    const auto own =
         this->s.presence.observation_of(this->s.options.self.name, name);
-    if (observation_of && observation_of->reachable)
-      oldest = std::min(oldest, slot.answered);
+    if (own && own->reachable) oldest = std::min(oldest, slot.answered);
   }
   return oldest;
 }
@@ -110,17 +109,13 @@
   b.probed_at = this->probed_at();
   b.open_models = this->open_targets();
   for (const auto& [name, slot] : this->s.probes) {
-    const auto observation_of =
+    const auto own =
         this->s.presence.observation_of(this->s.options.self.name, name);
-    if (!observation_of) continue;
-    const absl::Time at = observation_of->reachable
-                              ? observation_of->at
-                              : observation_of->unreachable_since;
-    b.observations.push_back(
-        {name, observation_of->reachable, at, observation_of->report});
-    const bool loaded =
-        observation_of->load.running > 0 || observation_of->load.queued > 0;
-    if (loaded) b.loads.push_back({name, observation_of->load});
+    if (!own) continue;
+    const absl::Time at = own->reachable ? own->at : own->unreachable_since;
+    b.observations.push_back({name, own->reachable, at, own->report});
+    const bool has_load = own->load.running > 0 || own->load.queued > 0;
+    if (has_load) b.loads.push_back({name, own->load});
   }
   return b;
 }
@@ -129,21 +124,21 @@
   this->s.heartbeat_due = false;
   heartbeat full = this->make_heartbeat();
   full.has_observations = true;
-  heartbeat far = full;
-  far.has_observations = false;
-  far.observations.clear();
+  heartbeat remote = full;
+  remote.has_observations = false;
+  remote.observations.clear();
   full.open_models.clear();
-  heartbeat brief = far;
+  heartbeat brief = remote;
   brief.open_models.clear();
   brief.from = {full.from.name, "", "", ""};
   for (const auto& address : this->s.members.heartbeat_addresses(this->now)) {
     const member* m = this->s.members.find_address(address);
-    const bool near = !m || m->info.hall == this->s.options.self.hall;
-    const bool knows = m && m->acked_epoch == full.observations_epoch;
-    if (!near) {
-      this->emit(heartbeat_effect{address, far});
+    const bool is_local = !m || m->info.hall == this->s.options.self.hall;
+    const bool up_to_date = m && m->acked_epoch == full.observations_epoch;
+    if (!is_local) {
+      this->emit(heartbeat_effect{address, remote});
     } else {
-      this->emit(heartbeat_effect{address, knows ? brief : full});
+      this->emit(heartbeat_effect{address, up_to_date ? brief : full});
     }
   }
 }
@@ -153,19 +148,19 @@
     // The observations replace all earlier ones of this prober, including those
     // of an earlier start of its process.
     this->s.presence.remove_prober(b.from.name);
-    bool all_taken = m.clock.known();
-    for (const auto& observation_of : b.observations) {
-      all_taken &= this->s.hosts.count(observation_of.host) != 0;
-      if (!all_taken) break;
-      observation seen;
-      seen.reachable = observation_of.reachable;
-      seen.report = observation_of.report;
-      seen.at = m.clock.local(observation_of.at);
-      this->s.presence.observe(b.from.name, observation_of.host, seen);
+    bool all_applied = m.clock.known();
+    for (const auto& reported : b.observations) {
+      all_applied &= this->s.hosts.count(reported.host) != 0;
+      if (!all_applied) break;
+      observation observed;
+      observed.reachable = reported.reachable;
+      observed.report = reported.report;
+      observed.at = m.clock.local(reported.at);
+      this->s.presence.observe(b.from.name, reported.host, observed);
     }
     // If the node does not know a host or the peer's clock offset yet, it
     // cannot apply the observations; epoch -1 makes the peer send them again.
-    m.observations_epoch = all_taken ? b.observations_epoch : -1;
+    m.observations_epoch = all_applied ? b.observations_epoch : -1;
   }
   if (m.observations_epoch == b.observations_epoch) {
     std::map<std::string, host_load> loads;
@@ -178,20 +173,20 @@
 
 void node_step::on(const heartbeat_event& e) {
   const heartbeat& b = e.content;
-  const bool taken = this->s.members.on_heartbeat(b);
+  const bool accepted = this->s.members.on_heartbeat(b);
   member* m = this->s.members.find(b.from.name);
-  const bool near = m && m->info.hall == this->s.options.self.hall;
-  if (taken && near) this->apply_host_observations(b, *m);
+  const bool is_local = m && m->info.hall == this->s.options.self.hall;
+  if (accepted && is_local) this->apply_host_observations(b, *m);
   heartbeat_ack ack;
   ack.from = this->s.options.self;
-  if (near) ack.from = {ack.from.name, "", "", ""};
+  if (is_local) ack.from = {ack.from.name, "", "", ""};
   ack.boot = this->s.options.boot;
   ack.taken = this->now;
-  ack.observations_epoch = taken && near ? m->observations_epoch : -1;
+  ack.observations_epoch = accepted && is_local ? m->observations_epoch : -1;
   ack.revision = this->s.revision;
   ack.ready = this->ready();
   ack.stopping = this->s.stopping;
-  if (!near) ack.open_models = this->open_targets();
+  if (!is_local) ack.open_models = this->open_targets();
   this->emit(heartbeat_ack_effect{e.token, std::move(ack)});
 }
 
@@ -218,9 +213,10 @@
   for (const auto& g : this->s.groups.groups) {
     const bool open = group_open(this->s, g, this->now);
     open_now[g.name] = open;
-    const auto before = this->s.was_open.find(g.name);
-    const bool was = before != this->s.was_open.end() && before->second;
-    if (open == was) continue;
+    const auto previous = this->s.was_open.find(g.name);
+    const bool previously_open =
+        previous != this->s.was_open.end() && previous->second;
+    if (open == previously_open) continue;
     this->log(open ? "group_open" : "group_closed",
               {{"group", g.name},
                {"incarnation", std::to_string(g.incarnation)},
@@ -236,9 +232,9 @@
   this->update_open_groups();
   if (this->now < this->s.next_heartbeat && !this->s.heartbeat_due) return;
   // Jitter of 10% keeps the nodes from sending heartbeats at the same time.
-  const double stretch = 0.9 + 0.2 * this->s.random.unit();
+  const double jitter = 0.9 + 0.2 * this->s.random.unit();
   this->s.next_heartbeat =
-      this->now + stretch * this->s.options.heartbeat_period;
+      this->now + jitter * this->s.options.heartbeat_period;
   this->send_heartbeats();
 }
 
--- a/src/node-context.cc
+++ b/src/node-context.cc
@@ -25,13 +25,13 @@
 node_context::node_context(const node_settings& node_settings_in,
                            boost::asio::io_context& io,
                            platform_adapter& platform, object_store& objects,
-                           http_fetcher& fetch, node_log& lines)
+                           http_fetcher& fetch, node_log& logger)
     : settings(node_settings_in),
       loop(io),
       adapter(platform),
       store(objects),
       fetcher(fetch),
-      log(lines),
+      log(logger),
       pool(io.get_executor()),
       random{std::mt19937_64(std::random_device()())},
       started(boot_now()),
--- a/src/node-gossip.cc
+++ b/src/node-gossip.cc
@@ -31,43 +31,43 @@
 
 }  // namespace
 
-void node_gossip::take(const std::string& peer, const gossip& said) {
+void node_gossip::receive(const std::string& peer, const gossip& message) {
   const absl::Time now = this->node.now();
-  if (said.requests_seen) this->node.requests_seen = true;
-  if (said.holder) this->apply_holder_state(*said.holder);
-  const bool near = this->link.hall_of(peer) == this->node.settings.hall;
-  if (near) {
-    this->node.loads.update_peer(peer, said.places, now);
+  if (message.requests_seen) this->node.requests_seen = true;
+  if (message.holder) this->apply_holder_state(*message.holder);
+  const bool is_local = this->link.hall_of(peer) == this->node.settings.hall;
+  if (is_local) {
+    this->node.loads.update_peer(peer, message.places, now);
     if (this->node.settings.policy.learn_speeds) {
-      this->node.speeds.update_peer(peer, said.speeds, now);
+      this->node.speeds.update_peer(peer, message.speeds, now);
     }
     if (this->node.settings.groups.follow_demand) {
-      this->node.demand.update_node(peer, this->node.settings.hall, said.demand,
-                                    now);
+      this->node.demand.update_node(peer, this->node.settings.hall,
+                                    message.demand, now);
     }
   } else {
-    this->far.receive(peer, said, now);
+    this->remote.receive(peer, message, now);
   }
 }
 
-void node_gossip::apply_relayed(const store_update& said) {
-  if (said.requests_seen) this->node.requests_seen = true;
-  if (said.holder) this->apply_holder_state(*said.holder);
+void node_gossip::apply_relayed(const store_update& update) {
+  if (update.requests_seen) this->node.requests_seen = true;
+  if (update.holder) this->apply_holder_state(*update.holder);
   // Only responses carry the load of remote halls.
-  if (said.nonce == 0) return;
-  this->far.apply_relayed(said.remote_places, said.remote_nodes,
-                          this->node.now());
+  if (update.nonce == 0) return;
+  this->remote.apply_relayed(update.remote_places, update.remote_nodes,
+                             this->node.now());
 }
 
-void node_gossip::apply_holder_state(const holder_state& said) {
+void node_gossip::apply_holder_state(const holder_state& state) {
   const auto& known = this->node.last_holder_state;
-  if (known && !(said == *known) && !said.newer_than(*known)) return;
+  if (known && !(state == *known) && !state.newer_than(*known)) return;
   this->node.holder_heard_at = this->node.now();
-  if (known && said == *known) return;
-  this->node.last_holder_state = said;
-  this->node.unresponsive_servers = {said.unresponsive.begin(),
-                                     said.unresponsive.end()};
-  this->on_lease(said.lease);
+  if (known && state == *known) return;
+  this->node.last_holder_state = state;
+  this->node.unresponsive_servers = {state.unresponsive.begin(),
+                                     state.unresponsive.end()};
+  this->on_lease(state.lease);
 }
 
 std::optional<holder_state> node_gossip::current_holder_state() const {
@@ -81,7 +81,7 @@
   out.requests_seen = this->node.requests_seen;
   if (out.nonce == 0) return;
   out.remote_places = this->node.loads.hall_sum(true, now);
-  out.remote_nodes = this->far.nodes(now);
+  out.remote_nodes = this->remote.nodes(now);
 }
 
 gossip node_gossip::make_gossip() const {
@@ -92,50 +92,49 @@
   return out;
 }
 
-void node_gossip::send_local_gossip(gossip said, absl::Time now) {
-  const uint64_t begun = this->node.loads.begun();
+void node_gossip::send_local_gossip(gossip message, absl::Time now) {
+  const uint64_t requests_sent = this->node.loads.begun();
   const int peers = this->link.count_reachable_peers(false);
-  if (!this->local_pace.due(begun, peers, now)) return;
-  this->local_pace.on_sent(begun, peers, now);
-  said.speeds = this->node.speeds.reported(now);
-  const bool tells_demand = this->node.settings.groups.follow_demand &&
-                            now - this->demand_sent >= demand_period;
-  const bool same = said == this->last_local_gossip;
-  if (!tells_demand && same &&
+  if (!this->local_pace.due(requests_sent, peers, now)) return;
+  this->local_pace.on_sent(requests_sent, peers, now);
+  message.speeds = this->node.speeds.reported(now);
+  const bool demand_due = this->node.settings.groups.follow_demand &&
+                          now - this->demand_sent >= demand_period;
+  const bool unchanged = message == this->last_local_gossip;
+  if (!demand_due && unchanged &&
       now - this->local_gossip_sent_at < max_gossip_interval)
     return;
   this->local_gossip_sent_at = now;
-  this->last_local_gossip = said;
-  if (tells_demand) {
+  this->last_local_gossip = message;
+  if (demand_due) {
     this->demand_sent = now;
-    said.demand = this->node.own_demand.rates(now);
+    message.demand = this->node.own_demand.rates(now);
   }
-  this->link.send_all(said, false);
+  this->link.send_all(message, false);
 }
 
 void node_gossip::send_suspicions(absl::Time now) {
-  auto& suspected_servers = this->node.suspected_servers;
-  std::erase_if(suspected_servers, [&](const auto& item) {
+  auto& suspected = this->node.suspected_servers;
+  std::erase_if(suspected, [&](const auto& item) {
     return now - item.second >= suspicion_lifetime;
   });
-  const bool is_new =
-      std::any_of(suspected_servers.begin(), suspected_servers.end(),
-                  [&](const auto& item) {
-                    return item.second >= this->suspicions_sent_at;
-                  });
-  if (suspected_servers.empty()) return;
-  if (!is_new && now - this->suspicions_sent_at < suspicion_resend_interval)
+  const bool has_new =
+      std::any_of(suspected.begin(), suspected.end(), [&](const auto& item) {
+        return item.second >= this->suspicions_sent_at;
+      });
+  if (suspected.empty()) return;
+  if (!has_new && now - this->suspicions_sent_at < suspicion_resend_interval)
     return;
-  const std::string to = this->holder();
-  if (to.empty()) return;
+  const std::string holder_name = this->holder();
+  if (holder_name.empty()) return;
   this->suspicions_sent_at = now;
-  suspicion said;
-  for (const auto& [id, at] : suspected_servers) said.servers.push_back(id);
-  if (to != this->node.settings.node) {
-    this->link.send(to, said);
+  suspicion message;
+  for (const auto& [id, at] : suspected) message.servers.push_back(id);
+  if (holder_name != this->node.settings.node) {
+    this->link.send(holder_name, message);
     return;
   }
-  for (const auto& id : said.servers) this->on_suspect(id);
+  for (const auto& id : message.servers) this->on_suspect(id);
 }
 
 void node_gossip::log_speeds(absl::Time now) {
@@ -154,27 +153,28 @@
 }
 
 void node_gossip::count_nodes(absl::Time now) {
-  const auto near = static_cast<int>(this->link.live_local_peers().size());
-  this->node.live_nodes = 1 + near + this->far.nodes(now);
+  const auto local_nodes =
+      static_cast<int>(this->link.live_local_peers().size());
+  this->node.live_nodes = 1 + local_nodes + this->remote.nodes(now);
   // A node that knows peers but receives nothing from any of them may be cut
   // off; its count is then not recorded.
-  const bool alone = this->link.listed() && this->link.size() == 0;
-  const bool proved = this->node.live_nodes > 1 || alone;
-  if (!proved || now - this->node.started < node_count_settle_time) return;
+  const bool no_peers = this->link.listed() && this->link.size() == 0;
+  const bool reliable = this->node.live_nodes > 1 || no_peers;
+  if (!reliable || now - this->node.started < node_count_settle_time) return;
   this->node.fleet.note(this->node.live_nodes, now);
 }
 
 net::awaitable<void> node_gossip::run() {
-  absl::Time counted = absl::InfinitePast();
+  absl::Time last_count = absl::InfinitePast();
   for (;;) {
     const absl::Time now = this->node.now();
-    const gossip said = this->make_gossip();
-    this->send_local_gossip(said, now);
-    this->far.send_due(said, now);
+    const gossip message = this->make_gossip();
+    this->send_local_gossip(message, now);
+    this->remote.send_due(message, now);
     this->send_suspicions(now);
     this->log_speeds(now);
-    if (now - counted >= max_gossip_interval) {
-      counted = now;
+    if (now - last_count >= max_gossip_interval) {
+      last_count = now;
       this->count_nodes(now);
     }
     co_await this->node.sleep(check_period);
--- a/src/node-gossip.h
+++ b/src/node-gossip.h
@@ -20,13 +20,13 @@
 class node_gossip {
  public:
   node_gossip(node_context& node, peer_link& link)
-      : node(node), link(link), far(node, link) {}
+      : node(node), link(link), remote(node, link) {}
 
   /// Sends changes at a bounded rate until the process ends.
   boost::asio::awaitable<void> run();
 
   /// Applies a peer's gossip.
-  void take(const std::string& peer, const gossip& said);
+  void receive(const std::string& peer, const gossip& said);
 
   /// Applies the parts of a relay's message that do not come from the store.
   void apply_relayed(const store_update& said);
@@ -43,7 +43,7 @@
 
   /// Nodes that could take over the lease, in order of preference.
   std::vector<std::string> lease_candidates() const {
-    return this->far.lease_candidates(this->node.now());
+    return this->remote.lease_candidates(this->node.now());
   }
 
   /// Returns the state that this node publishes as the lease holder; nullopt if
@@ -69,7 +69,7 @@
 
   node_context& node;
   peer_link& link;
-  remote_gossip far;
+  remote_gossip remote;
   /// The last message sent to this data hall.
   gossip last_local_gossip;
   absl::Time local_gossip_sent_at = absl::InfinitePast();
--- a/src/node-log.cc
+++ b/src/node-log.cc
@@ -43,13 +43,14 @@
   }
 }
 
-void node_log::write(log_category weight, const char* event,
+void node_log::write(log_category category, const char* event,
                      const std::vector<log_field>& fields, absl::Time now) {
   if (now - this->second >= absl::Seconds(1)) this->begin_second(now);
   quota& q = this->quotas[event];
-  const int most = weight == log_category::request ? max_request_lines
-                                                   : max_state_change_lines;
-  if (q.written >= most) {
+  const int max_lines = category == log_category::request
+                            ? max_request_lines
+                            : max_state_change_lines;
+  if (q.written >= max_lines) {
     q.omitted++;
     this->omitted_total++;
     return;
--- a/src/node-log.h
+++ b/src/node-log.h
@@ -32,7 +32,7 @@
 
   /// Writes a line, or counts it as omitted if its event has reached its limit
   /// for this second.
-  void write(log_category weight, const char* event,
+  void write(log_category category, const char* event,
              const std::vector<log_field>& fields, absl::Time now);
 
   /// Writes a line about a change of the node's state or an error.
--- a/src/node-message.cc
+++ b/src/node-message.cc
@@ -19,9 +19,9 @@
 
 /// Converts to whole milliseconds, clamped to the range of uint32_t.
 uint32_t to_ms(absl::Duration time) {
-  constexpr int64_t most = std::numeric_limits<uint32_t>::max();
+  constexpr int64_t max_ms = std::numeric_limits<uint32_t>::max();
   return static_cast<uint32_t>(
-      std::clamp<int64_t>(absl::ToInt64Milliseconds(time), 0, most));
+      std::clamp<int64_t>(absl::ToInt64Milliseconds(time), 0, max_ms));
 }
 
 template <typename List>
@@ -143,11 +143,12 @@
 }
 
 void write_evacuations(rpc::Evacuations::Builder out,
-                       const evacuation_snapshot& said) {
-  out.setRevision(said.revision);
-  out.setAgeMs(static_cast<uint32_t>(absl::ToInt64Milliseconds(said.age)));
-  write_texts(out.initHalls(said.halls.size()),
-              {said.halls.begin(), said.halls.end()});
+                       const evacuation_snapshot& evacuations) {
+  out.setRevision(evacuations.revision);
+  out.setAgeMs(
+      static_cast<uint32_t>(absl::ToInt64Milliseconds(evacuations.age)));
+  write_texts(out.initHalls(evacuations.halls.size()),
+              {evacuations.halls.begin(), evacuations.halls.end()});
 }
 
 evacuation_snapshot read_evacuations(rpc::Evacuations::Reader in) {
@@ -178,9 +179,9 @@
   out.sequence = in.getSequence();
   out.unresponsive = read_texts(in.getSilent());
   out.loads_begun = static_cast<int>(in.getLoadsBegun());
-  for (const auto said : in.getShares()) {
+  for (const auto share : in.getShares()) {
     out.shares.push_back(
-        {said.getService().cStr(), said.getModel().cStr(), said.getShare()});
+        {share.getService().cStr(), share.getModel().cStr(), share.getShare()});
   }
   return out;
 }
@@ -258,7 +259,7 @@
   return out;
 }
 
-void write_news(rpc::News::Builder out, const store_update& n) {
+void write_store_update(rpc::News::Builder out, const store_update& n) {
   out.setNonce(n.nonce);
   out.setConfigRevision(n.config_revision);
   out.setConfigAgeMs(
@@ -282,7 +283,7 @@
   }
 }
 
-store_update read_news(rpc::News::Reader in) {
+store_update read_store_update(rpc::News::Reader in) {
   store_update out;
   out.nonce = in.getNonce();
   out.config_revision = in.getConfigRevision();
@@ -314,15 +315,15 @@
   out.setAsks(r.wants_reply);
   auto list = out.initEvidence(r.evidence.size());
   for (size_t i = 0; i < r.evidence.size(); ++i) {
-    const crash_update& said = r.evidence[i];
-    list[i].setWorkspace(said.identity.workspace);
-    list[i].setContent(said.identity.content);
-    list[i].setPassed(said.evidence.passed);
+    const crash_update& update = r.evidence[i];
+    list[i].setWorkspace(update.identity.workspace);
+    list[i].setContent(update.identity.content);
+    list[i].setPassed(update.evidence.passed);
     list[i].setAgeMs(
-        static_cast<uint32_t>(absl::ToInt64Milliseconds(said.age)));
-    auto crashes = list[i].initCrashes(said.evidence.crashes.size());
+        static_cast<uint32_t>(absl::ToInt64Milliseconds(update.age)));
+    auto crashes = list[i].initCrashes(update.evidence.crashes.size());
     size_t at = 0;
-    for (const auto& [server, end] : said.evidence.crashes) {
+    for (const auto& [server, end] : update.evidence.crashes) {
       crashes[at].setServer(server);
       crashes[at].setPoint(end.point);
       crashes[at].setBegun(end.begun);
@@ -336,16 +337,16 @@
   crash_report out;
   out.digest = in.getDigest();
   out.wants_reply = in.getAsks();
-  for (const auto said : in.getEvidence()) {
-    crash_update one;
-    one.identity = {said.getWorkspace(), said.getContent()};
-    one.evidence.passed = said.getPassed();
-    one.age = absl::Milliseconds(said.getAgeMs());
-    for (const auto crash : said.getCrashes()) {
-      one.evidence.crashes[crash.getServer()] = {
+  for (const auto entry : in.getEvidence()) {
+    crash_update update;
+    update.identity = {entry.getWorkspace(), entry.getContent()};
+    update.evidence.passed = entry.getPassed();
+    update.age = absl::Milliseconds(entry.getAgeMs());
+    for (const auto crash : entry.getCrashes()) {
+      update.evidence.crashes[crash.getServer()] = {
           crash.getPoint(), crash.getBegun(), crash.getRepeated()};
     }
-    out.evidence.push_back(std::move(one));
+    out.evidence.push_back(std::move(update));
   }
   return out;
 }
@@ -369,7 +370,7 @@
     request.setServersRevision(r->servers.known);
     request.setServersToldAfter(r->servers.unapplied_after);
   } else if (const auto* n = std::get_if<store_update>(&message.content)) {
-    write_news(root.initNews(), *n);
+    write_store_update(root.initNews(), *n);
   } else if (const auto* c = std::get_if<crash_report>(&message.content)) {
     write_crashes(root.initCrashReport(), *c);
   } else if (const auto* w = std::get_if<grant_request>(&message.content)) {
@@ -386,10 +387,10 @@
     auto store_update = root.initLimitNews();
     write_limits(store_update.initReports(l->reports.size()), l->reports);
   } else {
-    const auto& said = std::get<suspicion>(message.content);
+    const auto& report = std::get<suspicion>(message.content);
     auto out = root.initSuspicion();
-    out.setGroup(said.group);
-    write_texts(out.initServers(said.servers.size()), said.servers);
+    out.setGroup(report.group);
+    write_texts(out.initServers(report.servers.size()), report.servers);
   }
   kj::VectorOutputStream out;
   capnp::writePackedMessage(out, builder);
@@ -400,7 +401,7 @@
 
 std::optional<node_message> decode_message(const char* data, size_t size) {
   std::optional<node_message> out;
-  const auto problem = kj::runCatchingExceptions([&] {
+  const auto exception = kj::runCatchingExceptions([&] {
     kj::ArrayInputStream in(
         kj::arrayPtr(reinterpret_cast<const kj::byte*>(data), size));
     capnp::ReaderOptions options;
@@ -421,11 +422,11 @@
           request.getNonce(),
           {request.getServersRevision(), request.getServersToldAfter()}};
     } else if (root.isNews()) {
-      message.content = read_news(root.getNews());
+      message.content = read_store_update(root.getNews());
     } else if (root.isSuspicion()) {
-      const auto said = root.getSuspicion();
+      const auto report = root.getSuspicion();
       message.content =
-          suspicion{read_texts(said.getServers()), said.getGroup().cStr()};
+          suspicion{read_texts(report.getServers()), report.getGroup().cStr()};
     } else if (root.isCrashReport()) {
       message.content = read_crashes(root.getCrashReport());
     } else if (root.isColdRequest()) {
@@ -446,7 +447,7 @@
     }
     out = std::move(message);
   });
-  if (problem != nullptr) return std::nullopt;
+  if (exception != nullptr) return std::nullopt;
   return out;
 }
 
--- a/src/node-process.cc
+++ b/src/node-process.cc
@@ -43,14 +43,14 @@
 }  // namespace
 
 node_process::node_process(const node_settings& node_settings_in,
-                           net::io_context& io, node_log& lines)
+                           net::io_context& io, node_log& logger)
     : settings(node_settings_in),
       loop(io),
-      log(lines),
+      log(logger),
       adapter(make_fleet_adapter()),
       fetcher(io.get_executor(), node_settings_in.node),
       store(make_fleet_store(fetcher, node_settings_in.platform_address)),
-      state(node_settings_in, io, *adapter, *store, fetcher, lines),
+      state(node_settings_in, io, *adapter, *store, fetcher, logger),
       sync(state),
       link(state),
       gossip(state, link),
@@ -75,10 +75,10 @@
 }
 
 std::optional<holder_state> node_process::own_holder_state() {
-  const auto lease_said = this->lease.snapshot();
-  if (!lease_said) return std::nullopt;
+  const auto lease_state = this->lease.snapshot();
+  if (!lease_state) return std::nullopt;
   holder_state next = this->group_runner.published_state();
-  next.lease = *lease_said;
+  next.lease = *lease_state;
   next.sequence = this->published_holder_state.sequence;
   if (!(next == this->published_holder_state)) ++next.sequence;
   this->published_holder_state = next;
@@ -86,34 +86,34 @@
 }
 
 void node_process::connect_messages() {
-  this->link.on_gossip = [this](const std::string& peer, const auto& said) {
-    this->gossip.take(peer, said);
+  this->link.on_gossip = [this](const std::string& peer, const auto& message) {
+    this->gossip.take(peer, message);
   };
-  this->link.on_request = [this](const std::string& peer, const auto& asked) {
-    this->relay.answer(peer, asked);
+  this->link.on_request = [this](const std::string& peer, const auto& request) {
+    this->relay.answer(peer, request);
   };
   this->link.on_store_update = [this](const std::string& peer,
-                                      const auto& said) {
-    this->relay.take(peer, said);
+                                      const auto& message) {
+    this->relay.take(peer, message);
   };
-  this->link.on_crashes = [this](const std::string& peer, const auto& said) {
-    this->crashes.take(peer, said);
+  this->link.on_crashes = [this](const std::string& peer, const auto& message) {
+    this->crashes.take(peer, message);
   };
   this->link.on_grant_request = [this](const std::string& peer,
-                                       const auto& asked) {
-    this->cold.answer(peer, asked);
+                                       const auto& request) {
+    this->cold.answer(peer, request);
   };
   this->link.on_grant_response = [this](const std::string& peer,
-                                        const auto& said) {
-    this->cold.take(peer, said);
+                                        const auto& message) {
+    this->cold.take(peer, message);
   };
   this->link.on_limit_update = [this](const std::string& peer,
-                                      const auto& said) {
-    this->limits.take(peer, said);
+                                      const auto& message) {
+    this->limits.take(peer, message);
   };
-  this->link.on_suspicion = [this](const suspicion& said) {
-    for (const auto& id : said.servers) this->group_runner.suspect(id);
-    this->stalls.on_peer_suspicion(said);
+  this->link.on_suspicion = [this](const suspicion& message) {
+    for (const auto& id : message.servers) this->group_runner.suspect(id);
+    this->stalls.on_peer_suspicion(message);
   };
 }
 
@@ -127,8 +127,8 @@
   this->gossip.on_suspect = [this](const std::string& id) {
     this->group_runner.suspect(id);
   };
-  this->stalls.on_loss = [this](const suspicion& said) {
-    this->link.send_all(said, false);
+  this->stalls.on_loss = [this](const suspicion& report) {
+    this->link.send_all(report, false);
   };
   this->stalls.on_suspect = [this](const std::string& id) {
     this->group_runner.suspect(id);
@@ -140,8 +140,8 @@
   this->relay.fill_update = [this](store_update& out) {
     this->gossip.fill_update(out);
   };
-  this->relay.on_update = [this](const store_update& said) {
-    this->gossip.apply_relayed(said);
+  this->relay.on_update = [this](const store_update& update) {
+    this->gossip.apply_relayed(update);
   };
   this->relay.on_config = [this](int64_t revision) {
     this->sync.request_config(revision);
@@ -270,8 +270,8 @@
   m.set_gauge("limited_servers",
               static_cast<double>(this->state.limits.size()));
   m.set_gauge("live_nodes", this->state.live_nodes);
-  const auto fleet = this->state.fleet.most(this->state.now());
-  m.set_gauge("most_nodes", fleet.value_or(0));
+  const auto max_nodes = this->state.fleet.most(this->state.now());
+  m.set_gauge("most_nodes", max_nodes.value_or(0));
   m.set_gauge("lease_held", this->lease.holds() ? 1 : 0);
   m.set_gauge("config_age_seconds",
               absl::ToDoubleSeconds(
@@ -288,11 +288,11 @@
 void node_process::set_evacuation_gauges() {
   if (!this->settings.bounds.evacuate_deadline) return;
   const absl::Time now = this->state.now();
-  const evacuation_snapshot known = this->state.evacuations.snapshot(now);
+  const evacuation_snapshot snapshot = this->state.evacuations.snapshot(now);
   node_metrics& m = this->state.metrics;
-  m.set_gauge("halls_evacuated", static_cast<double>(known.halls.size()));
+  m.set_gauge("halls_evacuated", static_cast<double>(snapshot.halls.size()));
   m.set_gauge("evacuations_age_seconds",
-              absl::ToDoubleSeconds(std::min(known.age, absl::Hours(1))));
+              absl::ToDoubleSeconds(std::min(snapshot.age, absl::Hours(1))));
 }
 
 net::awaitable<void> node_process::tick() {
@@ -351,12 +351,12 @@
 
 void node_process::log_servers_age(absl::Time now) {
   const news_age age = this->state.age();
-  const bool late = servers_stale(age, this->settings.bounds);
-  if (!this->state.directory_listed || late == this->logged_servers_late)
+  const bool stale = servers_stale(age, this->settings.bounds);
+  if (!this->state.directory_listed || stale == this->logged_servers_late)
     return;
-  this->logged_servers_late = late;
+  this->logged_servers_late = stale;
   this->log.state_change(
-      late ? "servers_late" : "servers_in_time",
+      stale ? "servers_late" : "servers_in_time",
       {{"age_ms", absl::StrCat(absl::ToInt64Milliseconds(age.servers))},
        {"rev", absl::StrCat(this->state.directory.revision())}},
       now);
@@ -395,8 +395,8 @@
 
 bool node_process::can_exit(absl::Time now) const {
   if (!this->state.stopping()) return false;
-  const absl::Duration since = now - this->state.stopping_since;
-  if (since >= this->settings.stop_grace - exit_margin) return true;
+  const absl::Duration elapsed = now - this->state.stopping_since;
+  if (elapsed >= this->settings.stop_grace - exit_margin) return true;
   return this->state.closing() && this->state.sessions.empty();
 }
 
--- a/src/node-request.cc
+++ b/src/node-request.cc
@@ -26,22 +26,23 @@
 
 std::vector<open_target> node_step::open_places(
     target_kind kind, const std::string& target) const {
-  std::vector<open_target> places;
-  if (!this->s.config) return places;
+  std::vector<open_target> targets;
+  if (!this->s.config) return targets;
   const size_t nodes = this->s.members.alive_in_hall(this->now).size();
   const auto add = [&](attempt_target t, const std::string& host,
                        int capacity) {
-    open_target place;
-    place.target = std::move(t);
-    place.capacity = capacity;
-    place.share = share_of(capacity, nodes);
-    const auto seen = this->s.presence.latest(host);
-    if (seen) place.reported = seen->load.running + seen->load.queued;
-    places.push_back(std::move(place));
+    open_target result;
+    result.target = std::move(t);
+    result.capacity = capacity;
+    result.share = share_of(capacity, nodes);
+    const auto observed = this->s.presence.latest(host);
+    if (observed)
+      result.reported = observed->load.running + observed->load.queued;
+    targets.push_back(std::move(result));
   };
   if (kind == target_kind::model) {
     const model_config* model = find_model(*this->s.config, target);
-    if (!model) return places;
+    if (!model) return targets;
     for (const auto& g : this->s.groups.groups) {
       if (g.model != target || !group_open(this->s, g, this->now)) continue;
       const std::string& leader = g.hosts.front();
@@ -56,10 +57,10 @@
       add({g.name, host->second.address, g.incarnation, false}, leader,
           model->max_concurrent);
     }
-    return places;
+    return targets;
   }
   const service_config* service = find_service(*this->s.config, target);
-  if (!service) return places;
+  if (!service) return targets;
   for (const auto& [name, info] : this->s.hosts) {
     if (info.service != target || info.leaving) continue;
     if (this->s.drained.count(name) != 0) continue;
@@ -69,7 +70,7 @@
     }
     add({name, info.address, 0, false}, name, service->max_concurrent);
   }
-  return places;
+  return targets;
 }
 
 bool node_step::can_complete(target_kind kind,
--- a/src/node-settings.cc
+++ b/src/node-settings.cc
@@ -26,12 +26,13 @@
 }
 
 void read_bounds(yaml_map bounds, node_settings& out) {
-  staleness_bounds& news = out.bounds;
-  news.config_deadline =
-      milliseconds(bounds, "config_ms", news.config_deadline);
-  news.revoke_deadline =
-      milliseconds(bounds, "revoke_ms", news.revoke_deadline);
-  news.drain_deadline = milliseconds(bounds, "drain_ms", news.drain_deadline);
+  staleness_bounds& staleness = out.bounds;
+  staleness.config_deadline =
+      milliseconds(bounds, "config_ms", staleness.config_deadline);
+  staleness.revoke_deadline =
+      milliseconds(bounds, "revoke_ms", staleness.revoke_deadline);
+  staleness.drain_deadline =
+      milliseconds(bounds, "drain_ms", staleness.drain_deadline);
   out.keys_fail_closed =
       bounds.boolean("keys_fail_closed", out.keys_fail_closed);
   out.stop_grace = seconds(bounds, "stop_grace_s", out.stop_grace);
@@ -40,9 +41,9 @@
   out.retries.slack = bounds.number("repeat_slack", out.retries.slack, 0, 1e9);
   const absl::Duration none = absl::ZeroDuration();
   const absl::Duration evacuate = milliseconds(bounds, "evacuate_ms", none);
-  if (evacuate > none) news.evacuate_deadline = evacuate;
+  if (evacuate > none) staleness.evacuate_deadline = evacuate;
   group_controller_options& groups = out.groups;
-  groups.leaving_member_grace = leave_hold_fraction * news.drain_deadline;
+  groups.leaving_member_grace = leave_hold_fraction * staleness.drain_deadline;
   groups.load_window = seconds(bounds, "load_window_s", groups.load_window);
   groups.load_excess = bounds.number("load_excess", groups.load_excess, 0, 10);
   bounds.finish();
--- a/src/node-view.cc
+++ b/src/node-view.cc
@@ -32,16 +32,16 @@
 }
 
 void node_step::merge(const std::vector<object>& objects, bool from_platform) {
-  std::vector<object> news;
+  std::vector<object> changed;
   for (const auto& o : objects) {
     if (!this->relevant(o)) continue;
     if (!this->s.view.merge(o)) continue;
-    news.push_back(o);
+    changed.push_back(o);
     this->apply_object(o);
   }
-  if (news.empty() || !from_platform) return;
+  if (changed.empty() || !from_platform) return;
   for (const auto& address : this->hall_peer_addresses()) {
-    this->emit(push_effect{address, news});
+    this->emit(push_effect{address, changed});
   }
 }
 
@@ -164,11 +164,11 @@
     return;
   }
   this->merge(e.objects, true);
-  const auto gone = this->s.view.retain(e.kind, e.objects, e.version);
-  for (const auto& mark : gone) this->apply_object(mark);
-  if (gone.empty()) return;
+  const auto removed = this->s.view.retain(e.kind, e.objects, e.version);
+  for (const auto& tombstone : removed) this->apply_object(tombstone);
+  if (removed.empty()) return;
   for (const auto& address : this->hall_peer_addresses()) {
-    this->emit(push_effect{address, gone});
+    this->emit(push_effect{address, removed});
   }
 }
 
@@ -181,9 +181,10 @@
 }
 
 void node_step::tick_view() {
-  const auto chosen = this->watchers();
-  const bool is_watcher = std::find(chosen.begin(), chosen.end(),
-                                    this->s.options.self.name) != chosen.end();
+  const auto selected = this->watchers();
+  const bool is_watcher =
+      std::find(selected.begin(), selected.end(), this->s.options.self.name) !=
+      selected.end();
   const bool watch = is_watcher || this->s.hall_controller.leads(this->now);
   if (watch != this->s.watching) {
     this->s.watching = watch;
@@ -191,20 +192,20 @@
     this->log("watching", {{"enabled", watch ? "true" : "false"}});
   }
   this->request_bundle();
-  bool watcher_heard = false;
-  for (const auto& name : chosen) {
-    watcher_heard |= name != this->s.options.self.name;
+  bool has_other_watcher = false;
+  for (const auto& name : selected) {
+    has_other_watcher |= name != this->s.options.self.name;
   }
-  if (watcher_heard && !watch) this->s.last_platform_contact = this->now;
-  const bool quiet =
+  if (has_other_watcher && !watch) this->s.last_platform_contact = this->now;
+  const bool no_contact =
       this->now - this->s.last_platform_contact > this->s.options.poll_after;
-  if (quiet && !watch && !this->s.poll_pending) {
+  if (no_contact && !watch && !this->s.poll_pending) {
     this->s.poll_pending = true;
     this->s.last_platform_contact = this->now;
     this->emit(poll_effect{});
   }
-  for (const auto& [name, known] : this->s.members.all()) {
-    if (known.info.hall != this->s.options.self.hall) continue;
+  for (const auto& [name, entry] : this->s.members.all()) {
+    if (entry.info.hall != this->s.options.self.hall) continue;
     member& m = *this->s.members.find(name);
     const bool same = m.view_digest == this->s.view.digest() ||
                       !this->s.members.alive(m, this->now);
--- a/src/peer-codec.cc
+++ b/src/peer-codec.cc
@@ -31,37 +31,37 @@
 }
 
 void write_host_observation(rpc::HostWord::Builder out,
-                            const host_observation& word) {
-  out.setHost(word.host);
-  out.setReachable(word.reachable);
-  out.setAt(absl::ToUnixNanos(word.at));
-  out.setGroup(word.report.group);
-  out.setIncarnation(word.report.incarnation);
-  out.setPhase(static_cast<uint8_t>(word.report.phase));
-  out.setModel(word.report.model);
-  out.setVersion(word.report.version);
-  const auto& adapters = word.report.adapters;
+                            const host_observation& observation) {
+  out.setHost(observation.host);
+  out.setReachable(observation.reachable);
+  out.setAt(absl::ToUnixNanos(observation.at));
+  out.setGroup(observation.report.group);
+  out.setIncarnation(observation.report.incarnation);
+  out.setPhase(static_cast<uint8_t>(observation.report.phase));
+  out.setModel(observation.report.model);
+  out.setVersion(observation.report.version);
+  const auto& adapters = observation.report.adapters;
   write_texts(out.initAdapters(count_of(adapters.size())), adapters);
-  out.setFence(word.report.fence);
-  out.setBoot(word.report.boot);
+  out.setFence(observation.report.fence);
+  out.setBoot(observation.report.boot);
 }
 
 host_observation read_host_observation(rpc::HostWord::Reader in) {
-  host_observation word;
-  word.host = in.getHost();
-  word.reachable = in.getReachable();
-  word.at = absl::FromUnixNanos(in.getAt());
-  word.report.group = in.getGroup();
-  word.report.incarnation = in.getIncarnation();
+  host_observation observation;
+  observation.host = in.getHost();
+  observation.reachable = in.getReachable();
+  observation.at = absl::FromUnixNanos(in.getAt());
+  observation.report.group = in.getGroup();
+  observation.report.incarnation = in.getIncarnation();
   const int phase =
       std::min<int>(in.getPhase(), static_cast<int>(host_phase::ready));
-  word.report.phase = static_cast<host_phase>(phase);
-  word.report.model = in.getModel();
-  word.report.version = in.getVersion();
-  word.report.adapters = read_texts(in.getAdapters());
-  word.report.fence = in.getFence();
-  word.report.boot = in.getBoot();
-  return word;
+  observation.report.phase = static_cast<host_phase>(phase);
+  observation.report.model = in.getModel();
+  observation.report.version = in.getVersion();
+  observation.report.adapters = read_texts(in.getAdapters());
+  observation.report.fence = in.getFence();
+  observation.report.boot = in.getBoot();
+  return observation;
 }
 
 }  // namespace
@@ -104,8 +104,8 @@
   b.observations_epoch = in.getWordsEpoch();
   b.probed_at = absl::FromUnixNanos(in.getProbedAt());
   b.has_observations = in.getHasWords();
-  for (const auto word : in.getWords())
-    b.observations.push_back(read_host_observation(word));
+  for (const auto observation : in.getWords())
+    b.observations.push_back(read_host_observation(observation));
   for (const auto load : in.getLoads()) {
     b.loads.push_back({load.getHost(),
                        {static_cast<int>(load.getRunning()),
--- a/src/peer-config-service.cc
+++ b/src/peer-config-service.cc
@@ -51,8 +51,8 @@
       co_await this->node.sleep(accept_retry_delay);
       continue;
     }
-    auto shared = std::make_shared<tcp::socket>(std::move(socket));
-    net::co_spawn(this->node.loop, this->answer(shared), net::detached);
+    auto connection = std::make_shared<tcp::socket>(std::move(socket));
+    net::co_spawn(this->node.loop, this->answer(connection), net::detached);
   }
 }
 
@@ -66,11 +66,11 @@
       co_await http::async_read(*socket, buffer, request, use_tuple);
   if (error) co_return;
   http_response response(http::status::not_found, http_11);
-  const auto held = this->node.config_object;
-  if (held && request.target() == config_path) {
+  const auto config = this->node.config_object;
+  if (config && request.target() == config_path) {
     response.result(http::status::ok);
-    response.set(revision_header, absl::StrCat(held->version));
-    response.body() = held->body;
+    response.set(revision_header, absl::StrCat(config->version));
+    response.body() = config->body;
   }
   response.keep_alive(false);
   response.prepare_payload();
@@ -91,18 +91,18 @@
       std::move(address), std::move(request), transfer_timeout);
   const bool ok = result.status == fetch_status::ok &&
                   result.response.result() == http::status::ok;
-  object found;
-  const std::string number(result.response[revision_header]);
-  const bool numbered = ok && absl::SimpleAtoi(number, &found.version);
-  if (!numbered) {
+  object config;
+  const std::string revision(result.response[revision_header]);
+  const bool valid = ok && absl::SimpleAtoi(revision, &config.version);
+  if (!valid) {
     out.error = result.error;
     co_return out;
   }
   const auto& kinds = this->node.adapter.kinds();
-  found.key = {kinds.config, kinds.config_name};
-  found.body = result.response.body();
-  out.revision = found.version;
-  out.objects.push_back(std::move(found));
+  config.key = {kinds.config, kinds.config_name};
+  config.body = result.response.body();
+  out.revision = config.version;
+  out.objects.push_back(std::move(config));
   out.status = store_status::ok;
   co_return out;
 }
--- a/src/peer-link.cc
+++ b/src/peer-link.cc
@@ -43,9 +43,9 @@
 peer_link::peer_link(node_context& state)
     : node(state), socket(state.loop), boot(state.random.engine()) {
   boost::system::error_code error;
-  const auto at = parse_endpoint(state.settings.peer_address, error);
+  const auto endpoint = parse_endpoint(state.settings.peer_address, error);
   this->socket.open(udp::v4());
-  this->socket.bind(udp::endpoint(at.address(), at.port()));
+  this->socket.bind(udp::endpoint(endpoint.address(), endpoint.port()));
 }
 
 bool peer_link::reachable(const peer_node& p) const {
@@ -78,8 +78,8 @@
 std::vector<std::string> peer_link::reachable_peers() const {
   std::vector<std::string> out;
   for (const auto& [name, p] : this->peers) {
-    const bool silent = this->in_own_hall(p) && !this->alive(p);
-    if (this->reachable(p) && !silent) out.push_back(name);
+    const bool unresponsive = this->in_own_hall(p) && !this->alive(p);
+    if (this->reachable(p) && !unresponsive) out.push_back(name);
   }
   return out;
 }
@@ -94,10 +94,10 @@
   return out;
 }
 
-int peer_link::count_reachable_peers(bool other_halls) const {
+int peer_link::count_reachable_peers(bool remote_halls) const {
   return static_cast<int>(
       std::count_if(this->peers.begin(), this->peers.end(), [&](const auto& p) {
-        return this->in_own_hall(p.second) != other_halls &&
+        return this->in_own_hall(p.second) != remote_halls &&
                this->reachable(p.second);
       }));
 }
@@ -112,8 +112,8 @@
 std::string peer_link::address_of(const std::string& name) const {
   const auto found = this->peers.find(name);
   if (found == this->peers.end()) return "";
-  const auto& at = found->second.endpoint;
-  return absl::StrCat(at.address().to_string(), ":", at.port());
+  const auto& endpoint = found->second.endpoint;
+  return absl::StrCat(endpoint.address().to_string(), ":", endpoint.port());
 }
 
 std::string peer_link::hall_of(const std::string& name) const {
@@ -170,10 +170,10 @@
   if (!address.is_string() || !hall.is_string()) return;
   if (!cores.is_null() && !cores.is_number()) return;
   boost::system::error_code error;
-  const auto at = parse_endpoint(address.get<std::string>(), error);
+  const auto endpoint = parse_endpoint(address.get<std::string>(), error);
   if (error) return;
   peer_node& p = this->peers[o.key.name];
-  p.endpoint = udp::endpoint(at.address(), at.port());
+  p.endpoint = udp::endpoint(endpoint.address(), endpoint.port());
   p.hall = hall.get<std::string>();
   p.cores = cores.is_null() ? 1 : cores.get<float>();
   p.listed = this->node.now();
@@ -194,12 +194,12 @@
   bool enrolled =
       co_await this->list_peers(true) == list_result::own_entry_present;
   this->list_read = enrolled;
-  for (int tries = 0; !enrolled; ++tries) {
+  for (int attempts = 0; !enrolled; ++attempts) {
     enrolled = co_await this->enroll();
     // Of two nodes that enroll at the same time, the later one finds the other,
     // provided that the list is not stale.
-    const list_result listed = co_await this->list_peers(tries > 0);
-    if (listed != list_result::failed) this->list_read = true;
+    const list_result result = co_await this->list_peers(attempts > 0);
+    if (result != list_result::failed) this->list_read = true;
     if (!enrolled) co_await this->jittered_sleep(first_list_period);
   }
   for (;;) {
@@ -208,12 +208,13 @@
   }
 }
 
-void peer_link::take(const node_message& message, const udp::endpoint& from) {
+void peer_link::handle_message(const node_message& message,
+                               const udp::endpoint& from) {
   if (message.node == this->node.settings.node) return;
   const absl::Time now = this->node.now();
   peer_node& p = this->peers[message.node];
-  const bool old = p.boot == message.boot && message.sequence <= p.sequence;
-  if (old) {
+  const bool stale = p.boot == message.boot && message.sequence <= p.sequence;
+  if (stale) {
     this->node.metrics.count_update_event("overtaken");
     this->node.log.state_change("message_overtaken",
                                 {{"peer", message.node},
@@ -222,7 +223,7 @@
                                 now);
     return;
   }
-  const bool back = now - p.last_heard >= peer_timeout;
+  const bool reappeared = now - p.last_heard >= peer_timeout;
   // Messages to a node that is not on the list yet go to its source address.
   if (p.listed == absl::InfinitePast()) p.endpoint = from;
   p.hall = message.hall;
@@ -230,7 +231,7 @@
   p.boot = message.boot;
   p.sequence = message.sequence;
   p.last_heard = now;
-  if (back) {
+  if (reappeared) {
     this->node.log.state_change("peer_heard", {{"peer", message.node}}, now);
   }
   this->dispatch(message);
@@ -268,7 +269,7 @@
     this->node.metrics.count_peer_bytes("in", static_cast<double>(size));
     const auto message = decode_message(bytes.data(), size);
     if (message) {
-      this->take(*message, from);
+      this->handle_message(*message, from);
       continue;
     }
     this->node.log.state_change(
@@ -299,10 +300,10 @@
   this->send_to(found->second, encode(this->make_message(std::move(content))));
 }
 
-void peer_link::send_all(const message_content& content, bool other_halls) {
+void peer_link::send_all(const message_content& content, bool remote_halls) {
   const std::string bytes = encode(this->make_message(content));
   for (const auto& [name, p] : this->peers) {
-    if (this->in_own_hall(p) == other_halls || !this->reachable(p)) continue;
+    if (this->in_own_hall(p) == remote_halls || !this->reachable(p)) continue;
     this->send_to(p, bytes);
   }
 }
--- a/src/peer-link.h
+++ b/src/peer-link.h
@@ -45,7 +45,7 @@
 
   void send(const std::string& peer, message_content content);
   /// Sends to all peers of this data hall, or to those of all remote halls.
-  void send_all(const message_content& content, bool other_halls);
+  void send_all(const message_content& content, bool remote_halls);
 
   /// Live peers of this data hall.
   std::vector<relay_candidate> live_local_peers() const;
@@ -56,7 +56,7 @@
   /// Reachable nodes of remote data halls, by hall.
   std::map<std::string, std::vector<relay_candidate>> remote_hall_peers() const;
   /// Number of reachable peers of this data hall, or of all remote halls.
-  int count_reachable_peers(bool other_halls) const;
+  int count_reachable_peers(bool remote_halls) const;
   /// Number of live peers of remote data halls.
   int count_live_remote_peers() const;
   /// Address at which a peer listens; empty if unknown.
@@ -100,8 +100,8 @@
   /// of nodes that started together.
   boost::asio::awaitable<void> jittered_sleep(absl::Duration time);
   /// Applies a received message, unless it is older than the last one.
-  void take(const node_message& message,
-            const boost::asio::ip::udp::endpoint& from);
+  void handle_message(const node_message& message,
+                      const boost::asio::ip::udp::endpoint& from);
   /// Whether the peer was listed, or sent a message, recently enough to send to
   /// it.
   bool reachable(const peer_node& p) const;
--- a/src/peer.cc
+++ b/src/peer.cc
@@ -197,14 +197,14 @@
 
   void run_jobs(kj::WaitScope& scope) {
     auto paf = kj::newPromiseAndCrossThreadFulfiller<void>();
-    std::vector<std::function<void()>> due;
+    std::vector<std::function<void()>> ready;
     {
       absl::MutexLock lock(&this->mutex);
-      due.swap(this->jobs);
-      if (due.empty()) this->waker = kj::mv(paf.fulfiller);
+      ready.swap(this->jobs);
+      if (ready.empty()) this->waker = kj::mv(paf.fulfiller);
     }
-    for (const auto& job : due) job();
-    if (due.empty()) paf.promise.wait(scope);
+    for (const auto& job : ready) job();
+    if (ready.empty()) paf.promise.wait(scope);
   }
 
   /// Returns the connection to a peer and counts a call on it; null if too many
--- a/src/store-feed.h
+++ b/src/store-feed.h
@@ -37,7 +37,7 @@
   virtual bool contains_requested(const object_listing& listing) const = 0;
   /// Applies a complete listing that is known to have been current at `proof`.
   virtual void apply_listing(const object_listing& listing,
-                             absl::Time proof) = 0;
+                             absl::Time verified_at) = 0;
   /// Applies the answer to a watch that was sent at `sent`. Returns the delay
   /// before the next watch.
   virtual absl::Duration apply_changes(const object_changes& changes,
--- a/src/store-sync.cc
+++ b/src/store-sync.cc
@@ -26,9 +26,9 @@
 
 store_sync::store_sync(node_context& state)
     : node(state),
-      reach(state),
+      reachability(state),
       config(state),
-      servers(state, this->reach),
+      servers(state, this->reachability),
       evacuations(state) {
   this->config.on_change = [this] { this->on_change(); };
   this->servers.on_change = [this] { this->on_change(); };
@@ -56,8 +56,8 @@
 }
 
 net::awaitable<void> store_sync::follow(store_feed& feed) {
-  backoff pauses(min_retry_delay, max_retry_delay);
-  bool begun = false;
+  backoff delays(min_retry_delay, max_retry_delay);
+  bool started = false;
   for (;;) {
     if (!feed.may_list()) {
       co_await this->node.sleep(recheck_interval);
@@ -65,14 +65,14 @@
     }
     // A relay may have sent all servers before the first list.
     int64_t revision = feed.known_revision();
-    bool answered = !begun && revision > 0 && !feed.must_list();
-    begun = true;
+    bool answered = !started && revision > 0 && !feed.must_list();
+    started = true;
     if (!answered) answered = co_await this->list(feed, revision);
     if (answered) {
-      pauses.reset();
+      delays.reset();
       answered = co_await this->follow_changes(feed, revision);
     }
-    if (!answered) co_await this->node.sleep(this->retry_delay(pauses));
+    if (!answered) co_await this->node.sleep(this->retry_delay(delays));
   }
 }
 
@@ -100,22 +100,22 @@
       co_await this->node.store.watch(feed.kind, revision, feed.wait(first));
   this->node.metrics.count_store_call(feed.watch_name,
                                       store_status_name(changes.status));
-  const bool away = changes.status == store_status::unavailable;
+  const bool unavailable = changes.status == store_status::unavailable;
   if (feed.indicates_reachability())
-    this->reach.record_call(!away, changes.error);
+    this->reachability.record_call(!unavailable, changes.error);
   if (changes.status != store_status::ok) co_return false;
   revision = std::max(revision, changes.revision);
   changes.revision = revision;
-  const absl::Duration pause = feed.apply_changes(changes, sent);
-  if (pause > absl::ZeroDuration()) co_await this->node.sleep(pause);
+  const absl::Duration delay = feed.apply_changes(changes, sent);
+  if (delay > absl::ZeroDuration()) co_await this->node.sleep(delay);
   co_return true;
 }
 
 net::awaitable<bool> store_sync::list(store_feed& feed, int64_t& revision) {
   if (feed.allows_stale_copy()) {
-    bool enough = co_await this->list_from_peer(feed, revision);
-    if (!enough) enough = co_await this->list_stale_copy(feed, revision);
-    if (enough) co_return true;
+    bool found = co_await this->list_from_peer(feed, revision);
+    if (!found) found = co_await this->list_stale_copy(feed, revision);
+    if (found) co_return true;
   }
   const absl::Time sent = this->node.now();
   const object_listing listing =
@@ -123,7 +123,8 @@
   const bool ok = listing.status == store_status::ok;
   this->node.metrics.count_store_call(feed.list_name,
                                       store_status_name(listing.status));
-  if (feed.indicates_reachability()) this->reach.record_call(ok, listing.error);
+  if (feed.indicates_reachability())
+    this->reachability.record_call(ok, listing.error);
   if (!ok) co_return false;
   feed.apply_listing(listing, sent);
   revision = listing.revision;
@@ -133,9 +134,9 @@
 net::awaitable<bool> store_sync::list_from_peer(store_feed& feed,
                                                 int64_t& revision) {
   const object_listing listing = co_await this->fetch_from_peer();
-  const bool enough =
+  const bool found =
       listing.status == store_status::ok && feed.contains_requested(listing);
-  if (!enough) {
+  if (!found) {
     this->node.log.state_change("peer_has_not",
                                 {{"kind", feed.kind}, {"why", listing.error}},
                                 this->node.now());
@@ -150,24 +151,24 @@
                                                  int64_t& revision) {
   const object_listing listing =
       co_await this->node.store.list(feed.kind, true);
-  const bool enough =
+  const bool found =
       listing.status == store_status::ok && feed.contains_requested(listing);
   this->node.metrics.count_store_call(
       absl::StrCat(feed.list_name, "_copy"),
-      enough ? store_status_name(listing.status) : "old");
-  if (!enough) co_return false;
+      found ? store_status_name(listing.status) : "old");
+  if (!found) co_return false;
   feed.apply_listing(listing, absl::InfinitePast());
   revision = listing.revision;
   co_return true;
 }
 
-absl::Duration store_sync::retry_delay(backoff& pauses) {
+absl::Duration store_sync::retry_delay(backoff& delays) {
   if (this->may_have_followers()) {
-    pauses.set_bounds(min_retry_delay, max_retry_delay);
+    delays.set_bounds(min_retry_delay, max_retry_delay);
   } else {
-    pauses.set_bounds(min_slow_retry_delay, max_slow_retry_delay);
+    delays.set_bounds(min_slow_retry_delay, max_slow_retry_delay);
   }
-  return pauses.next(this->node.random);
+  return delays.next(this->node.random);
 }
 
 }  // namespace spokesail
--- a/src/store-sync.h
+++ b/src/store-sync.h
@@ -74,10 +74,10 @@
   boost::asio::awaitable<bool> list_stale_copy(store_feed& feed,
                                                int64_t& revision);
   /// Delay after a failed call.
-  absl::Duration retry_delay(backoff& pauses);
+  absl::Duration retry_delay(backoff& delays);
 
   node_context& node;
-  store_reachability reach;
+  store_reachability reachability;
   config_feed config;
   server_feed servers;
   evacuation_feed evacuations;
--- a/test/document-test.cc
+++ b/test/document-test.cc
@@ -9,7 +9,7 @@
 
 object base() { return {{kinds::placement, "hall"}, 5, R"({"a":1})", false}; }
 
-TEST(document, an_answered_write_is_applied) {
+TEST(document, acknowledged_write_is_applied) {
   auto write = make_write(base(), R"({"a":2})", "w1");
   EXPECT_EQ(next_call(write).base_version, 5);
   object found = base();
@@ -18,7 +18,7 @@
   EXPECT_EQ(write.state, write_state::applied);
 }
 
-TEST(document, a_lost_answer_is_settled_by_reading_back) {
+TEST(document, lost_answer_is_resolved_by_reading_back) {
   auto write = make_write(base(), R"({"a":2})", "w1");
   write = apply_answer(write, {call_status::unavailable, {}});
   EXPECT_EQ(next_call(write),
@@ -33,7 +33,7 @@
   EXPECT_EQ(write.state, write_state::applied);
 }
 
-TEST(document, a_lost_race_names_the_winner) {
+TEST(document, conflict_returns_the_other_writers_object) {
   auto write = make_write(base(), R"({"a":2})", "w1");
   write = apply_answer(write, {call_status::conflict, {}});
   object found = base();
@@ -44,7 +44,7 @@
   EXPECT_EQ(write.found.version, 6);
 }
 
-TEST(document, only_the_last_ids_are_remembered) {
+TEST(document, stores_only_the_last_write_ids) {
   object o = base();
   for (int i = 0; i < 100; i++) {
     o.body = make_write(o, R"({"a":1})", std::to_string(i)).body;
--- a/test/fleet-adapter-test.cc
+++ b/test/fleet-adapter-test.cc
@@ -76,7 +76,7 @@
   EXPECT_EQ(config->workspaces[0].keys, std::vector<std::string>{"k"});
 }
 
-TEST(fleet_adapter, a_stream_that_cannot_be_resumed_may_run_once) {
+TEST(fleet_adapter, stream_that_cannot_be_resumed_is_not_repeatable) {
   const json spec = {{"routes", {{{"name", "r"}, {"kind", "streaming"}}}}};
   const auto config = adapter->read_config(object_of("config", "main", spec));
   EXPECT_FALSE(config->routes[0].repeatable);
@@ -108,7 +108,7 @@
   return fault;
 }
 
-TEST(fleet_adapter, reads_a_servers_word_on_its_group) {
+TEST(fleet_adapter, reads_group_membership_of_a_server) {
   std::string fault;
   const auto entry =
       adapter->read_server(object_of("servers", "i-1", good_entry()), fault);
@@ -121,7 +121,7 @@
             (group_membership{"m.5", 5, 1, member_phase::ready}));
 }
 
-TEST(fleet_adapter, reads_how_much_longer_a_server_is_cold) {
+TEST(fleet_adapter, reads_remaining_cold_time) {
   json spec = good_entry();
   spec["cold_left_ms"] = 2750;
   std::string fault;
@@ -131,7 +131,7 @@
   EXPECT_EQ(entry->cold_remaining, absl::Milliseconds(2750));
 }
 
-TEST(fleet_adapter, reads_what_cold_servers_of_a_service_bear) {
+TEST(fleet_adapter, reads_request_rate_of_cold_servers) {
   const json spec = {
       {"routes", {{{"name", "r"}, {"kind", "safe"}}}},
       {"services", {{{"name", "x"}, {"cold_per_s", 26}}, {{"name", "y"}}}}};
@@ -141,7 +141,7 @@
   EXPECT_EQ(config->services[1].cold_requests_per_s, 0);
 }
 
-TEST(fleet_adapter, an_entry_that_lacks_a_field_names_no_server) {
+TEST(fleet_adapter, rejects_entry_without_a_required_field) {
   for (const char* name : {"service", "addr", "zone", "version", "slots",
                            "state", "cold_left_ms", "seq"}) {
     json spec = good_entry();
@@ -153,7 +153,7 @@
 /// Entries of plain services have none of these fields. Entries written by
 /// earlier versions, which did not distinguish a server's starts, have no
 /// `born`.
-TEST(fleet_adapter, what_only_some_servers_say_may_be_absent) {
+TEST(fleet_adapter, accepts_entry_without_optional_fields) {
   for (const char* name : {"domain", "staged", "group", "born"}) {
     json spec = good_entry();
     spec.erase(name);
@@ -164,7 +164,7 @@
   EXPECT_EQ(fault_of(spec), "");
 }
 
-TEST(fleet_adapter, a_field_of_another_type_or_range_names_no_server) {
+TEST(fleet_adapter, rejects_entry_with_invalid_field) {
   const std::vector<std::pair<const char*, json>> wrong = {
       {"service", 7},
       {"service", ""},
@@ -203,7 +203,7 @@
   }
 }
 
-TEST(fleet_adapter, what_is_no_object_or_far_too_large_names_no_server) {
+TEST(fleet_adapter, rejects_entry_that_is_no_object_or_too_large) {
   EXPECT_EQ(fault_of(nullptr), "not an object");
   EXPECT_EQ(fault_of(json::array({1, 2})), "not an object");
   json spec = good_entry();
@@ -217,7 +217,7 @@
 }
 
 /// Any bytes give either an entry or a reason.
-RC_GTEST_PROP(fleet_adapter, any_spoiled_entry_is_read_or_refused, ()) {
+RC_GTEST_PROP(fleet_adapter, corrupted_entry_is_read_or_rejected, ()) {
   object o = object_of("servers", "i-1", good_entry());
   const int changes = *rc::gen::inRange(1, 6);
   for (int i = 0; i < changes; ++i) {
@@ -229,7 +229,7 @@
   RC_ASSERT(entry.has_value() == fault.empty());
 }
 
-TEST(fleet_adapter, takes_the_number_of_orders_from_the_report) {
+TEST(fleet_adapter, reads_order_count_from_report) {
   http_response answer(http::status::ok, 11);
   answer.body() = R"({"seq":4,"running":12,"waiting":1,"busy":true})";
   const auto report = adapter->read_report(answer);
@@ -240,7 +240,7 @@
   EXPECT_FALSE(adapter->read_report(answer));
 }
 
-TEST(fleet_adapter, names_the_server_and_the_condition_of_an_order) {
+TEST(fleet_adapter, writes_server_and_condition_of_an_order) {
   group_order order;
   order.kind = group_order_kind::join;
   order.server = "i-1";
@@ -256,7 +256,7 @@
   EXPECT_EQ(body["members"].size(), 2U);
 }
 
-TEST(fleet_adapter, overwrites_what_a_caller_may_not_set) {
+TEST(fleet_adapter, overwrites_headers_that_callers_may_not_set) {
   http_fields head;
   head.set("X-Tenant", "someone");
   head.set("X-Expect-Instance", "i-9");
@@ -270,7 +270,7 @@
   EXPECT_EQ(head["X-Model"], "m");
 }
 
-TEST(fleet_adapter, believes_only_a_server_that_says_it_did_not_run) {
+TEST(fleet_adapter, treats_request_as_not_run_only_if_server_says_so) {
   http_fields plain;
   EXPECT_FALSE(adapter->read_answer(503, plain).not_run);
   EXPECT_TRUE(adapter->read_answer(421, plain).not_run);
@@ -313,7 +313,7 @@
   EXPECT_FALSE(adapter->read_answer(421, head).limit_per_s);
 }
 
-TEST(fleet_adapter, reads_a_callers_head) {
+TEST(fleet_adapter, reads_callers_request_head) {
   http_fields head;
   head.set("X-Request-Id", "r1");
   head.set("Authorization", "Bearer k");
@@ -356,7 +356,7 @@
   return out;
 }
 
-RC_GTEST_PROP(fleet_adapter, no_object_or_answer_does_harm, ()) {
+RC_GTEST_PROP(fleet_adapter, tolerates_any_object_or_response, ()) {
   const json any = any_json(4);
   const object o = object_of("any", "x", any);
   adapter->read_config(o);
@@ -367,7 +367,7 @@
   adapter->read_report(answer);
 }
 
-RC_GTEST_PROP(fleet_adapter, no_head_does_harm,
+RC_GTEST_PROP(fleet_adapter, tolerates_any_head,
               (const std::string& a, const std::string& b)) {
   http_fields head;
   head.set("X-Request-Id", a);
--- a/test/fleet-run.h
+++ b/test/fleet-run.h
@@ -56,10 +56,10 @@
         std::max(this->max_orders_per_step, actions.orders.size());
     for (const auto& order : actions.orders) {
       const order_result result = this->fleet.give(order, this->now);
-      const bool told = result != order_result::unknown;
-      const absl::Duration wait =
-          told ? absl::Milliseconds(5) : absl::Milliseconds(500);
-      this->answers.push_back({order, result, this->now + wait, this->fence});
+      const bool has_result = result != order_result::unknown;
+      const absl::Duration delay =
+          has_result ? absl::Milliseconds(5) : absl::Milliseconds(500);
+      this->answers.push_back({order, result, this->now + delay, this->fence});
       std::stable_sort(
           this->answers.begin(), this->answers.end(),
           [](const auto& a, const auto& b) { return a.at < b.at; });
@@ -86,15 +86,15 @@
 
   /// Maximum number of loads that started within any window after `since`.
   int max_loads_in_window(absl::Duration window, absl::Time since) const {
-    int most = 0;
+    int max_loads = 0;
     for (const auto& from : this->fleet.loads) {
       if (from < since) continue;
-      const auto in = std::count_if(
+      const auto count = std::count_if(
           this->fleet.loads.begin(), this->fleet.loads.end(),
           [&](const auto& at) { return at >= from && at < from + window; });
-      most = std::max(most, static_cast<int>(in));
+      max_loads = std::max(max_loads, static_cast<int>(count));
     }
-    return most;
+    return max_loads;
   }
 
   struct answer {
--- a/test/node-fixture.h
+++ b/test/node-fixture.h
@@ -114,10 +114,10 @@
     return result.get();
   }
 
-  bool wait_until(const std::function<bool()>& done) {
+  bool wait_until(const std::function<bool()>& condition) {
     const absl::Time until = boot_now() + wait_timeout;
     while (boot_now() < until) {
-      if (this->on_loop(done)) return true;
+      if (this->on_loop(condition)) return true;
       std::this_thread::sleep_for(std::chrono::milliseconds(10));
     }
     return false;
@@ -221,10 +221,11 @@
     return this->on_loop([this] {
       const std::string head = this->fleet->serving_head("large");
       const auto& servers = this->fleet->engines().directory().servers();
-      const auto& led = servers.at(head).entry.membership;
+      const auto& head_membership = servers.at(head).entry.membership;
       for (const auto& [id, server] : servers) {
-        const auto& said = server.entry.membership;
-        if (said.group == led.group && said.rank == 1) return id;
+        const auto& membership = server.entry.membership;
+        if (membership.group == head_membership.group && membership.rank == 1)
+          return id;
       }
       return std::string();
     });
--- a/test/node-message-test.cc
+++ b/test/node-message-test.cc
@@ -24,7 +24,7 @@
   return {{5, R"({"holder":"x"})"}, 8, {"s2", "s3"}, 4, {{"lm", "large", 0.3}}};
 }
 
-TEST(node_message, gossip_comes_back_as_it_was) {
+TEST(node_message, gossip_round_trip) {
   gossip g;
   g.places = {{"large.7", 3, 512}, {"p0", 1, 0}};
   g.holder = sample_holder();
@@ -39,7 +39,7 @@
   EXPECT_EQ(*back, sample(g));
 }
 
-TEST(node_message, questions_and_grants_for_cold_servers_come_back) {
+TEST(node_message, grant_and_limit_messages_round_trip) {
   const std::vector<message_content> contents = {
       grant_request{7, {{"s1", 1780000000123, 2}, {"s2", 0, 1}}},
       grant_response{7, {{"s1", 1780000000123, 1}}},
@@ -55,22 +55,22 @@
   }
 }
 
-TEST(node_message, evidence_of_crashes_comes_back_as_it_was) {
-  crash_report said;
-  said.evidence = {
+TEST(node_message, crash_report_round_trip) {
+  crash_report report;
+  report.evidence = {
       {{1, 2},
        {{{77, {run_progress::start, true, false}}, {78, {4, false, true}}}, 4},
        absl::Seconds(3)},
       {{5, 6}, {{}, run_progress::completed}, absl::ZeroDuration()}};
-  said.digest = 99;
-  said.wants_reply = true;
-  const auto bytes = encode(sample(said));
+  report.digest = 99;
+  report.wants_reply = true;
+  const auto bytes = encode(sample(report));
   const auto back = decode_message(bytes.data(), bytes.size());
   ASSERT_TRUE(back);
-  EXPECT_EQ(*back, sample(said));
+  EXPECT_EQ(*back, sample(report));
 }
 
-TEST(node_message, news_come_back_as_they_were) {
+TEST(node_message, store_update_round_trip) {
   store_update n;
   n.nonce = 9;
   n.config_revision = 4;
@@ -93,21 +93,21 @@
   EXPECT_EQ(*back, sample(n));
 }
 
-TEST(node_message, a_request_comes_back_as_it_was) {
+TEST(node_message, store_update_request_round_trip) {
   const auto bytes = encode(sample(store_update_request{3, {11, 14}}));
   const auto back = decode_message(bytes.data(), bytes.size());
   ASSERT_TRUE(back);
   EXPECT_EQ(*back, sample(store_update_request{3, {11, 14}}));
 }
 
-TEST(node_message, a_suspicion_comes_back_as_it_was) {
+TEST(node_message, suspicion_round_trip) {
   const auto bytes = encode(sample(suspicion{{"s1", "s2"}, "large.7"}));
   const auto back = decode_message(bytes.data(), bytes.size());
   ASSERT_TRUE(back);
   EXPECT_EQ(*back, sample(suspicion{{"s1", "s2"}, "large.7"}));
 }
 
-TEST(node_message, a_holders_later_word_is_known_by_version_and_sequence) {
+TEST(node_message, holder_states_are_ordered_by_version_and_sequence) {
   holder_state first = sample_holder();
   holder_state later = first;
   later.sequence++;
@@ -118,12 +118,12 @@
   EXPECT_TRUE(first.newer_than(later));
 }
 
-RC_GTEST_PROP(node_message, no_bytes_do_harm,
+RC_GTEST_PROP(node_message, decoder_tolerates_any_bytes,
               (const std::vector<uint8_t>& bytes)) {
   decode_message(reinterpret_cast<const char*>(bytes.data()), bytes.size());
 }
 
-RC_GTEST_PROP(node_message, spoiled_messages_do_no_harm, ()) {
+RC_GTEST_PROP(node_message, decoder_tolerates_corrupted_messages, ()) {
   store_update n;
   n.servers = {{sample_server(), false, absl::ZeroDuration()}};
   std::string bytes = encode(sample(n));
--- a/test/node-settings-test.cc
+++ b/test/node-settings-test.cc
@@ -13,7 +13,7 @@
 
 namespace leaf = boost::leaf;
 
-const std::string least =
+const std::string minimal_settings =
     "node: n1\nhall: h1\nlisten:\n  callers: 127.0.0.1:1\n"
     "  ready: 127.0.0.1:2\n  metrics: 127.0.0.1:3\n  peers: 127.0.0.1:4\n"
     "platform: 127.0.0.1:5\n";
@@ -34,9 +34,9 @@
   return out;
 }
 
-TEST(node_settings, have_defaults_on_the_safe_side) {
+TEST(node_settings, have_safe_defaults) {
   std::vector<std::string> faults;
-  const node_settings settings = read(least, faults);
+  const node_settings settings = read(minimal_settings, faults);
   EXPECT_TRUE(faults.empty());
   EXPECT_TRUE(settings.keys_fail_closed);
   EXPECT_TRUE(settings.policy.repeat_failed_calls);
@@ -47,10 +47,10 @@
   EXPECT_FALSE(settings.groups.follow_demand);
 }
 
-TEST(node_settings, take_the_platforms_bounds_and_the_operators_policy) {
+TEST(node_settings, read_bounds_and_policy) {
   std::vector<std::string> faults;
   const node_settings settings =
-      read(least +
+      read(minimal_settings +
                "cores: 0.125\nmemory_mb: 160\n"
                "bounds:\n  keys_fail_closed: false\n  repeat_slack: 7\n"
                "  config_ms: 4000\n  drain_ms: 3000\n  evacuate_ms: 5000\n"
@@ -78,9 +78,10 @@
   EXPECT_EQ(settings.groups.spare_share, 0.3);
 }
 
-TEST(node_settings, refuse_what_nobody_reads_and_what_is_out_of_range) {
+TEST(node_settings, reject_unknown_keys_and_values_out_of_range) {
   std::vector<std::string> faults;
-  read(least + "policy:\n  spare_share: 2\n  no_such_policy: 1\n", faults);
+  read(minimal_settings + "policy:\n  spare_share: 2\n  no_such_policy: 1\n",
+       faults);
   EXPECT_EQ(faults.size(), 2U);
 }
 
--- a/test/node-test.cc
+++ b/test/node-test.cc
@@ -5,7 +5,7 @@
 namespace spokesail {
 namespace {
 
-TEST_F(node_test, serves_a_stream_whole_and_tells_the_workspace) {
+TEST_F(node_test, serves_complete_stream_and_sends_workspace) {
   this->start(1);
   const auto answer = this->send_request(stream_request("r1"));
   EXPECT_EQ(answer.result_int(), 200U);
@@ -16,7 +16,7 @@
             "north");
 }
 
-TEST_F(node_test, goes_on_with_a_broken_stream_in_the_same_answer) {
+TEST_F(node_test, resumes_broken_stream_in_the_same_response) {
   this->start(1);
   this->on_loop([&] { return this->fleet->faults.break_after_events = 4; });
   const auto answer = this->send_request(stream_request("r1"));
@@ -24,7 +24,7 @@
   EXPECT_EQ(this->runs("r1"), 2);
 }
 
-TEST_F(node_test, leaves_a_group_that_lost_a_member_and_repairs_it) {
+TEST_F(node_test, leaves_group_that_lost_a_member_and_repairs_it) {
   this->start(1);
   const std::string member = this->serving_member();
   ASSERT_FALSE(member.empty());
@@ -59,7 +59,7 @@
   }
 };
 
-TEST_F(full_groups_test, are_refused_with_a_fixed_time_without_admission) {
+TEST_F(full_groups_test, without_admission_get_503_with_fixed_retry_after) {
   this->start(1);
   this->fill_groups(500, wait_timeout);
   const auto answer = this->send_request(stream_request("r1"));
@@ -68,21 +68,22 @@
   EXPECT_EQ(answer.body(), "no group has room");
 }
 
-TEST_F(full_groups_test, are_refused_with_the_time_of_a_place_by_admission) {
+TEST_F(full_groups_test, with_admission_get_503_with_expected_time_of_a_slot) {
   this->policy.admit_in_time = true;
   this->start(1);
   this->fill_groups(500, wait_timeout);
   const auto answer = this->send_request(stream_request("r1"));
   EXPECT_EQ(answer.result_int(), 503U);
   EXPECT_EQ(answer.body(), "no group has room");
-  const double told = std::stod(std::string(answer["Retry-After"]));
+  const double retry_after_s = std::stod(std::string(answer["Retry-After"]));
   // At most a third of the four seconds that the caller waits.
-  EXPECT_LE(told, 4.0 / 3);
-  EXPECT_GT(told, 0);
+  EXPECT_LE(retry_after_s, 4.0 / 3);
+  EXPECT_GT(retry_after_s, 0);
   EXPECT_EQ(this->runs("r1"), 0);
 }
 
-TEST_F(full_groups_test, are_waited_for_where_a_place_will_be_free_in_time) {
+TEST_F(full_groups_test,
+       with_admission_are_waited_for_if_a_slot_frees_in_time) {
   this->policy.admit_in_time = true;
   this->start(1);
   this->fill_groups(8, absl::Milliseconds(60));
@@ -91,7 +92,7 @@
   EXPECT_EQ(event_ids(answer.body()), all_ids());
 }
 
-TEST_F(full_groups_test, with_room_are_used_as_before_by_admission) {
+TEST_F(full_groups_test, with_free_slots_are_used_by_admission) {
   this->policy.admit_in_time = true;
   this->start(1);
   for (int i = 0; i < 8; ++i) {
@@ -107,7 +108,7 @@
   one_group_test() : node_test(3) {}
 };
 
-TEST_F(one_group_test, a_stream_waits_for_its_only_group_to_be_repaired) {
+TEST_F(one_group_test, stream_waits_until_its_only_group_is_repaired) {
   this->start(1, 1);
   const std::string member = this->serving_member();
   ASSERT_FALSE(member.empty());
@@ -131,18 +132,18 @@
 
 // Guards against a node that takes all of a server's connections when it
 // receives nothing from its peers any more.
-TEST_F(node_test, shares_servers_with_nodes_that_are_not_heard_any_more) {
+TEST_F(node_test, shares_servers_with_nodes_that_became_unreachable) {
   this->start(1);
-  const int sharing = this->on_loop([this] {
+  const int node_count = this->on_loop([this] {
     node_context& state = this->nodes[0]->context();
     state.fleet.note(9, state.now());
     state.live_nodes = 1;
     return state.capacity_sharing_nodes();
   });
-  EXPECT_EQ(sharing, 9);
+  EXPECT_EQ(node_count, 9);
 }
 
-TEST_F(node_test, says_502_when_a_call_that_may_run_once_has_lost_its_answer) {
+TEST_F(node_test, returns_502_when_response_of_unrepeatable_call_is_lost) {
   this->start(1);
   this->on_loop([&] { return this->fleet->faults.lose_plain_answers = true; });
   EXPECT_EQ(this->send_request(request("r1", "/file/minutes")).result_int(),
@@ -150,7 +151,7 @@
   EXPECT_EQ(this->runs("r1"), 1);
 }
 
-TEST_F(node_test, says_503_only_when_no_server_has_run_the_call) {
+TEST_F(node_test, returns_503_only_when_no_server_ran_the_call) {
   this->start(1);
   this->on_loop([&] { return this->fleet->faults.shed_plain = true; });
   const auto answer = this->send_request(request("r1", "/file/minutes"));
@@ -159,7 +160,7 @@
   EXPECT_EQ(this->runs("r1"), 0);
 }
 
-TEST_F(node_test, repeats_a_failed_call_only_if_it_may_be_repeated) {
+TEST_F(node_test, retries_failed_call_only_if_repeatable) {
   this->start(1);
   this->on_loop([&] { return this->fleet->faults.fail_plain_calls = 1; });
   EXPECT_EQ(this->send_request(request("r1", "/look/minutes")).result_int(),
@@ -171,7 +172,7 @@
   EXPECT_EQ(this->runs("r2"), 1);
 }
 
-TEST_F(node_test, passes_a_failure_on_where_failed_calls_are_not_repeated) {
+TEST_F(node_test, relays_failure_if_policy_disables_retries) {
   this->policy.repeat_failed_calls = false;
   this->start(1);
   this->on_loop([&] { return this->fleet->faults.fail_plain_calls = 1; });
@@ -180,7 +181,7 @@
   EXPECT_EQ(this->runs("r1"), 1);
 }
 
-TEST_F(node_test, learns_no_speeds_where_policy_does_not_say_so) {
+TEST_F(node_test, learns_no_speeds_unless_policy_enables_it) {
   this->start(2);
   EXPECT_EQ(this->send_request(request("r1", "/look/minutes")).result_int(),
             200U);
@@ -189,7 +190,7 @@
       this->on_loop([&] { return this->nodes[0]->context().speeds.empty(); }));
 }
 
-TEST_F(node_test, learns_speeds_from_streams_and_calls_where_policy_says_so) {
+TEST_F(node_test, learns_speeds_from_streams_and_calls_if_policy_enables_it) {
   this->policy.learn_speeds = true;
   this->start(1);
   EXPECT_EQ(this->send_request(request("r1", "/look/minutes")).result_int(),
@@ -199,7 +200,7 @@
   EXPECT_EQ(this->send_request(stream_request("r2")).result_int(), 200U);
 }
 
-TEST_F(node_test, never_passes_on_the_answer_to_another_request) {
+TEST_F(node_test, never_relays_the_response_to_another_request) {
   this->start(1);
   this->on_loop([&] { return this->fleet->faults.cross_plain_answers = true; });
   EXPECT_EQ(this->send_request(request("r1", "/file/minutes")).result_int(),
@@ -208,7 +209,7 @@
             502U);
 }
 
-TEST_F(node_test, keeps_a_plain_answer_as_it_is) {
+TEST_F(node_test, relays_plain_response_unchanged) {
   this->start(1);
   auto out = request("r1", "/look/minutes?page=2");
   out.body() = "some body";
@@ -219,7 +220,7 @@
             "some body");
 }
 
-TEST_F(node_test, refuses_keys_that_are_unknown_or_taken_away) {
+TEST_F(node_test, refuses_unknown_and_revoked_keys) {
   this->start(1);
   EXPECT_EQ(this->send_request(request("r1", "/look/a", "none")).result_int(),
             401U);
@@ -238,7 +239,7 @@
   EXPECT_EQ(this->send_request(request("r4", "/nowhere/a")).result_int(), 404U);
 }
 
-TEST_F(node_test, trusts_no_key_once_its_knowledge_is_too_old) {
+TEST_F(node_test, refuses_keys_when_configuration_is_stale) {
   this->start(1);
   this->on_loop([&] { return this->fleet->faults.store_silent = true; });
   ASSERT_TRUE(this->wait_until(
@@ -253,7 +254,7 @@
   EXPECT_EQ(this->send_request(request("r2", "/look/a")).result_int(), 200U);
 }
 
-TEST_F(node_test, serves_on_with_known_keys_where_they_need_not_fail_closed) {
+TEST_F(node_test, accepts_known_keys_when_stale_unless_keys_fail_closed) {
   this->keys_fail_closed = false;
   this->start(1);
   this->on_loop([&] { return this->fleet->faults.store_silent = true; });
@@ -273,7 +274,7 @@
             401U);
 }
 
-TEST_F(node_test, a_follower_leaves_a_relay_that_the_store_turns_away) {
+TEST_F(node_test, follower_leaves_relay_that_the_store_rejects) {
   this->start(3);
   // The store rejects the node that is the relay while a key is revoked.
   const std::vector<std::string> names = {"node-0", "node-1", "node-2"};
@@ -293,7 +294,7 @@
   }));
 }
 
-TEST_F(node_test, a_node_that_the_store_turns_away_takes_a_change_from_a_peer) {
+TEST_F(node_test, node_rejected_by_the_store_reads_change_from_a_peer) {
   this->start(3);
   const auto follower =
       std::find_if(this->nodes.begin(), this->nodes.end(), [this](auto& node) {
@@ -318,7 +319,7 @@
       401U);
 }
 
-TEST_F(node_test, a_node_that_starts_hears_of_the_servers_from_a_peer) {
+TEST_F(node_test, starting_node_receives_servers_from_a_peer) {
   this->start(2);
   const int lists =
       this->on_loop([this] { return this->fleet->record.server_lists; });
@@ -335,11 +336,11 @@
 
 /// An entry overwritten with invalid content removes its server, even if the
 /// entry was valid before.
-TEST_F(node_test, an_entry_of_another_writer_names_no_server) {
+TEST_F(node_test, invalid_entry_removes_its_server) {
   this->start(2);
   const std::string id =
       this->on_loop([this] { return this->fleet->serving_head("large"); });
-  const auto known = [&](bool expected) {
+  const auto wait_for_presence = [&](bool expected) {
     return this->wait_until([&] {
       return std::all_of(this->nodes.begin(), this->nodes.end(),
                          [&](const auto& node) {
@@ -348,21 +349,21 @@
                          });
     });
   };
-  ASSERT_TRUE(known(true));
+  ASSERT_TRUE(wait_for_presence(true));
   this->on_loop([&] {
     this->fleet->faults.spoiled_entries[id] = {{"service", 7}};
     return 0;
   });
-  EXPECT_TRUE(known(false));
+  EXPECT_TRUE(wait_for_presence(false));
   EXPECT_EQ(this->send_request(request("r1", "/look/a")).result_int(), 200U);
   this->on_loop([&] {
     this->fleet->faults.spoiled_entries.clear();
     return 0;
   });
-  EXPECT_TRUE(known(true));
+  EXPECT_TRUE(wait_for_presence(true));
 }
 
-TEST_F(node_test, few_nodes_watch_the_store) {
+TEST_F(node_test, at_most_two_nodes_watch_the_store) {
   this->start(3);
   EXPECT_TRUE(this->wait_until([this] {
     int watching = 0;
@@ -372,7 +373,7 @@
   }));
 }
 
-TEST_F(node_test, a_node_that_has_just_started_waits_for_its_configuration) {
+TEST_F(node_test, starting_node_waits_for_its_configuration) {
   this->fleet->faults.store_silent = true;
   this->add_node("node-0");
   this->run();
@@ -389,7 +390,7 @@
   EXPECT_EQ(in.result_int(), 200U);
 }
 
-TEST_F(node_test, ends_what_it_has_taken_before_it_stops) {
+TEST_F(node_test, completes_accepted_requests_before_it_stops) {
   this->start(1);
   auto socket = this->connect();
   auto out = stream_request("r1");
@@ -413,7 +414,7 @@
   EXPECT_EQ(error, http::error::end_of_stream);
 }
 
-TEST_F(node_test, a_holder_that_stops_gives_its_duty_up) {
+TEST_F(node_test, stopping_holder_releases_its_lease) {
   this->start(2);
   const auto holder = [this] {
     for (size_t i = 0; i < this->nodes.size(); ++i) {
@@ -435,7 +436,7 @@
             1);
 }
 
-TEST_F(node_test, takes_no_request_late_in_its_stop) {
+TEST_F(node_test, accepts_no_request_late_in_its_stop) {
   this->start(1);
   auto socket = this->connect();
   this->on_loop([&] {
@@ -459,7 +460,7 @@
   EXPECT_EQ(this->runs("r1"), 0);
 }
 
-TEST_F(node_test, lets_nothing_through_whose_length_is_ambiguous) {
+TEST_F(node_test, rejects_requests_of_ambiguous_length) {
   this->start(1);
   const std::string head =
       "POST /look/a HTTP/1.1\r\nHost: callers.example\r\n"
@@ -485,7 +486,7 @@
   EXPECT_EQ(this->runs("r2"), 0);
 }
 
-TEST_F(node_test, says_which_limit_a_request_exceeds) {
+TEST_F(node_test, reports_which_limit_a_request_exceeds) {
   this->start(1);
   auto large = request("r1", "/look/a");
   large.body() = std::string(70000, 'x');
@@ -500,7 +501,7 @@
 
 /// Guards against excessive store calls when many nodes restart at once: each
 /// write and each list that is not stale is a full-price call.
-TEST_F(node_test, a_node_that_is_on_the_list_already_does_not_enroll) {
+TEST_F(node_test, listed_node_does_not_enroll_again) {
   this->add_node("node-0");
   this->enroll_first_node();
   this->run();
@@ -511,14 +512,14 @@
             0);
 }
 
-TEST_F(node_test, a_new_node_enrolls_once) {
+TEST_F(node_test, new_node_enrolls_once) {
   this->start(1);
   EXPECT_EQ(this->on_loop(
                 [this] { return this->fleet->record.writes["entry-nodes"]; }),
             1);
 }
 
-TEST_F(node_test, ends_the_run_of_a_caller_that_left) {
+TEST_F(node_test, aborts_request_of_a_caller_that_disconnected) {
   this->start(1);
   {
     auto socket = this->connect();
--- a/test/peer-test.cc
+++ b/test/peer-test.cc
@@ -19,16 +19,16 @@
  public:
   explicit answering_node(const std::string& address)
       : link(make_rpc_link(
-            address, [this](event_body e) { this->take(std::move(e)); },
+            address, [this](event_body e) { this->on_event(std::move(e)); },
             [](const char*, size_t) {})) {}
 
   int heartbeats() {
     absl::MutexLock lock(&this->mutex);
-    return this->taken;
+    return this->received;
   }
   int acks() {
     absl::MutexLock lock(&this->mutex);
-    return this->answered;
+    return this->acknowledged;
   }
   heartbeat last() {
     absl::MutexLock lock(&this->mutex);
@@ -49,23 +49,23 @@
   std::unique_ptr<rpc_peer_link> link;
 
  private:
-  void take(event_body e) {
+  void on_event(event_body e) {
     if (const auto* b = std::get_if<heartbeat_event>(&e)) {
       {
         absl::MutexLock lock(&this->mutex);
-        this->taken++;
+        this->received++;
         this->latest = b->content;
       }
       this->link->reply_heartbeat(b->token, heartbeat_ack{});
     } else if (std::holds_alternative<heartbeat_ack_event>(e)) {
       absl::MutexLock lock(&this->mutex);
-      this->answered++;
+      this->acknowledged++;
     }
   }
 
   absl::Mutex mutex;
-  int taken = 0;
-  int answered = 0;
+  int received = 0;
+  int acknowledged = 0;
   heartbeat latest;
 };
 
@@ -90,14 +90,14 @@
   return b;
 }
 
-TEST(peer, a_beat_arrives_as_it_was_sent) {
+TEST(peer, heartbeat_arrives_as_sent) {
   answering_node a(address_a);
   answering_node b(address_b);
   ASSERT_TRUE(a.reach(address_b, full_heartbeat()));
   EXPECT_EQ(b.last(), full_heartbeat());
 }
 
-TEST(peer, a_peer_that_closes_and_returns_is_reached_again) {
+TEST(peer, reconnects_to_peer_that_restarts) {
   answering_node a(address_a);
   for (int i = 0; i < 3; i++) {
     answering_node b(address_b);
