--- a/src/config-feed.cc
+++ b/src/config-feed.cc
@@ -19,7 +19,7 @@
 
 /// Wait of the first watch after a node starts to watch. It is short so that
 /// the node has verified the configuration itself before its followers consider
-/// it outdated and choose another relay.
+/// it stale and choose another relay.
 constexpr absl::Duration first_watch_wait = absl::Milliseconds(50);
 
 /// Minimum time between two reads of the configuration by a node that is
--- a/src/config-feed.h
+++ b/src/config-feed.h
@@ -38,8 +38,8 @@
 
  private:
   void apply_config(const object& o);
-  /// Records that the configuration in force was current at `proof`, unless the
-  /// store has a later one that could not be read.
+  /// Records that the configuration in force was current at `verified_at`,
+  /// unless the store has a later one that could not be read.
   void advance_verified_at(absl::Time verified_at);
 
   node_context& node;
--- a/src/connection-pool.h
+++ b/src/connection-pool.h
@@ -23,7 +23,7 @@
   std::optional<boost::asio::ip::tcp::socket> take(const std::string& server,
                                                    absl::Time now);
 
-  /// Adds a connection that may be reused until `until`.
+  /// Adds a connection that may be reused until `expires_at`.
   void put(const std::string& server, boost::asio::ip::tcp::socket socket,
            absl::Time expires_at);
 
--- a/src/node-gossip.h
+++ b/src/node-gossip.h
@@ -26,13 +26,13 @@
   boost::asio::awaitable<void> run();
 
   /// Applies a peer's gossip.
-  void receive(const std::string& peer, const gossip& said);
+  void receive(const std::string& peer, const gossip& message);
 
   /// Applies the parts of a relay's message that do not come from the store.
-  void apply_relayed(const store_update& said);
+  void apply_relayed(const store_update& update);
 
   /// Applies the holder's state unless a later one is known.
-  void apply_holder_state(const holder_state& said);
+  void apply_holder_state(const holder_state& state);
 
   /// The holder's current state: this node's own while it holds the lease, or
   /// the last one received.
@@ -58,7 +58,7 @@
 
  private:
   /// Sends gossip to the nodes of this data hall if it is due.
-  void send_local_gossip(gossip said, absl::Time now);
+  void send_local_gossip(gossip message, absl::Time now);
   /// Sends the suspected servers to the lease holder.
   void send_suspicions(absl::Time now);
   gossip make_gossip() const;
--- a/src/node-log.cc
+++ b/src/node-log.cc
@@ -33,8 +33,8 @@
 
 node_log::~node_log() { spdlog::shutdown(); }
 
-void node_log::begin_second(absl::Time now) {
-  this->second = now;
+void node_log::reset_quotas(absl::Time now) {
+  this->second_start = now;
   for (auto& [event, q] : this->quotas) {
     if (q.omitted > 0) {
       spdlog::info("event=lines_left_out of={} count={}", event, q.omitted);
@@ -45,7 +45,7 @@
 
 void node_log::write(log_category category, const char* event,
                      const std::vector<log_field>& fields, absl::Time now) {
-  if (now - this->second >= absl::Seconds(1)) this->begin_second(now);
+  if (now - this->second_start >= absl::Seconds(1)) this->reset_quotas(now);
   quota& q = this->quotas[event];
   const int max_lines = category == log_category::request
                             ? max_request_lines
--- a/src/node-log.h
+++ b/src/node-log.h
@@ -51,10 +51,10 @@
     uint64_t omitted = 0;
   };
   /// Resets the counts and logs how many lines were omitted.
-  void begin_second(absl::Time now);
+  void reset_quotas(absl::Time now);
 
   std::map<std::string, quota> quotas;
-  absl::Time second = absl::InfinitePast();
+  absl::Time second_start = absl::InfinitePast();
   uint64_t omitted_total = 0;
 };
 
--- a/src/node-message.cc
+++ b/src/node-message.cc
@@ -15,7 +15,7 @@
 namespace {
 
 /// Traversal limit for a received message, in Cap'n Proto words.
-constexpr uint64_t read_limit_words = 1 << 17;
+constexpr uint64_t max_traversal_words = 1 << 17;
 
 /// Converts to whole milliseconds, clamped to the range of uint32_t.
 uint32_t to_ms(absl::Duration time) {
@@ -405,7 +405,7 @@
     kj::ArrayInputStream in(
         kj::arrayPtr(reinterpret_cast<const kj::byte*>(data), size));
     capnp::ReaderOptions options;
-    options.traversalLimitInWords = read_limit_words;
+    options.traversalLimitInWords = max_traversal_words;
     capnp::PackedMessageReader reader(in, options);
     const auto root = reader.getRoot<rpc::NodeMessage>();
     node_message message;
--- a/src/node-message.h
+++ b/src/node-message.h
@@ -37,8 +37,8 @@
   std::vector<std::string> unresponsive;
   /// Weight loads that the holder started within its load window.
   int loads_begun = 0;
-  /// The holder's division of hosts among models, where it differs from the
-  /// configured one.
+  /// The holder's allocation of hosts to models, where it differs from the
+  /// configured shares.
   std::vector<model_share> shares;
   bool operator==(const holder_state&) const = default;
 
@@ -53,7 +53,7 @@
 
 /// A node's periodic message to its peers, sent at a bounded rate.
 struct gossip {
-  /// Load of endpoints by the sender, or by its whole data hall.
+  /// Load on endpoints from the sender, or from its whole data hall.
   std::vector<endpoint_load> places;
   /// Set by the lease holder only.
   std::optional<holder_state> holder;
--- a/src/node-process.cc
+++ b/src/node-process.cc
@@ -87,7 +87,7 @@
 
 void node_process::connect_messages() {
   this->link.on_gossip = [this](const std::string& peer, const auto& message) {
-    this->gossip.take(peer, message);
+    this->gossip.receive(peer, message);
   };
   this->link.on_request = [this](const std::string& peer, const auto& request) {
     this->relay.answer(peer, request);
--- a/src/node-process.h
+++ b/src/node-process.h
@@ -31,8 +31,8 @@
 
 namespace spokesail {
 
-/// A node with its listeners, links to peers and lease duties. Must be used on
-/// the event loop's thread only.
+/// A node with its listeners, its links to peers and, while it holds the lease,
+/// the group controller. Must be used on the event loop's thread only.
 class node_process {
  public:
   node_process(const node_settings& settings, boost::asio::io_context& loop,
--- a/src/node-view.cc
+++ b/src/node-view.cc
@@ -11,7 +11,7 @@
 using json = nlohmann::json;
 
 /// A node pulls objects from a peer whose view has differed for this long.
-constexpr absl::Duration pull_after = absl::Milliseconds(300);
+constexpr absl::Duration pull_delay = absl::Milliseconds(300);
 
 /// Interval at which a missing bundle is requested.
 constexpr absl::Duration bundle_retry = absl::Seconds(1);
@@ -213,7 +213,7 @@
       m.differs_since = absl::InfiniteFuture();
     } else if (m.differs_since == absl::InfiniteFuture()) {
       m.differs_since = this->now;
-    } else if (this->now - m.differs_since > pull_after) {
+    } else if (this->now - m.differs_since > pull_delay) {
       m.differs_since = this->now;
       this->emit(pull_effect{m.info.peer_address, this->s.view.stamps()});
     }
--- a/src/peer-codec.cc
+++ b/src/peer-codec.cc
@@ -7,7 +7,7 @@
 
 using text_list = capnp::List<capnp::Text>;
 
-unsigned count_of(size_t size) { return static_cast<unsigned>(size); }
+unsigned list_size(size_t size) { return static_cast<unsigned>(size); }
 
 void write_member(rpc::Member::Builder out, const member_info& m) {
   out.setName(m.name);
@@ -41,7 +41,7 @@
   out.setModel(observation.report.model);
   out.setVersion(observation.report.version);
   const auto& adapters = observation.report.adapters;
-  write_texts(out.initAdapters(count_of(adapters.size())), adapters);
+  write_texts(out.initAdapters(list_size(adapters.size())), adapters);
   out.setFence(observation.report.fence);
   out.setBoot(observation.report.boot);
 }
@@ -78,16 +78,16 @@
   out.setWordsEpoch(b.observations_epoch);
   out.setProbedAt(absl::ToUnixNanos(b.probed_at));
   out.setHasWords(b.has_observations);
-  auto observations = out.initWords(count_of(b.observations.size()));
+  auto observations = out.initWords(list_size(b.observations.size()));
   for (unsigned i = 0; i < observations.size(); i++)
     write_host_observation(observations[i], b.observations[i]);
-  auto loads = out.initLoads(count_of(b.loads.size()));
+  auto loads = out.initLoads(list_size(b.loads.size()));
   for (unsigned i = 0; i < loads.size(); i++) {
     loads[i].setHost(b.loads[i].host);
     loads[i].setRunning(static_cast<uint32_t>(b.loads[i].load.running));
     loads[i].setQueued(static_cast<uint32_t>(b.loads[i].load.queued));
   }
-  write_texts(out.initOpenModels(count_of(b.open_models.size())),
+  write_texts(out.initOpenModels(list_size(b.open_models.size())),
               b.open_models);
 }
 
@@ -123,7 +123,7 @@
   out.setRevision(ack.revision);
   out.setReady(ack.ready);
   out.setStopping(ack.stopping);
-  write_texts(out.initOpenModels(count_of(ack.open_models.size())),
+  write_texts(out.initOpenModels(list_size(ack.open_models.size())),
               ack.open_models);
 }
 
--- a/src/peer-link.cc
+++ b/src/peer-link.cc
@@ -19,8 +19,8 @@
 /// Interval at which the store's list of nodes is read. A copy that may be
 /// stale is enough, since a new node also sends messages to its peers.
 constexpr absl::Duration list_period = absl::Seconds(15);
-/// The interval while this node is not enrolled yet.
-constexpr absl::Duration first_list_period = absl::Milliseconds(700);
+/// Delay between attempts to enroll this node.
+constexpr absl::Duration enroll_retry_delay = absl::Milliseconds(700);
 
 /// A peer that has sent nothing for this long does not count as alive.
 constexpr absl::Duration peer_timeout = absl::Seconds(3);
@@ -49,7 +49,7 @@
 }
 
 bool peer_link::reachable(const peer_node& p) const {
-  const absl::Time last = std::max(p.last_heard, p.listed);
+  const absl::Time last = std::max(p.last_heard, p.last_listed);
   return p.endpoint.port() != 0 && this->node.now() - last <= peer_forget_time;
 }
 
@@ -176,10 +176,10 @@
   p.endpoint = udp::endpoint(endpoint.address(), endpoint.port());
   p.hall = hall.get<std::string>();
   p.cores = cores.is_null() ? 1 : cores.get<float>();
-  p.listed = this->node.now();
+  p.last_listed = this->node.now();
   // Peers that are listed when this node starts count as alive until they have
   // sent nothing for the usual time, so that a relay is found at once.
-  if (!this->list_read) p.last_heard = std::max(p.last_heard, p.listed);
+  if (!this->list_read) p.last_heard = std::max(p.last_heard, p.last_listed);
 }
 
 net::awaitable<void> peer_link::jittered_sleep(absl::Duration time) {
@@ -200,7 +200,7 @@
     // provided that the list is not stale.
     const list_result result = co_await this->list_peers(attempts > 0);
     if (result != list_result::failed) this->list_read = true;
-    if (!enrolled) co_await this->jittered_sleep(first_list_period);
+    if (!enrolled) co_await this->jittered_sleep(enroll_retry_delay);
   }
   for (;;) {
     co_await this->jittered_sleep(list_period);
@@ -225,7 +225,7 @@
   }
   const bool reappeared = now - p.last_heard >= peer_timeout;
   // Messages to a node that is not on the list yet go to its source address.
-  if (p.listed == absl::InfinitePast()) p.endpoint = from;
+  if (p.last_listed == absl::InfinitePast()) p.endpoint = from;
   p.hall = message.hall;
   p.cores = message.cores;
   p.boot = message.boot;
--- a/src/peer-link.h
+++ b/src/peer-link.h
@@ -28,7 +28,7 @@
   /// When the last message was received.
   absl::Time last_heard = absl::InfinitePast();
   /// When the peer was last on the store's list.
-  absl::Time listed = absl::InfinitePast();
+  absl::Time last_listed = absl::InfinitePast();
 };
 
 /// Sends and receives messages. Nodes discover each other through objects in
--- a/src/store-feed.h
+++ b/src/store-feed.h
@@ -35,7 +35,8 @@
   virtual bool allows_stale_copy() const = 0;
   /// Whether a listing from such a copy has the requested revision.
   virtual bool contains_requested(const object_listing& listing) const = 0;
-  /// Applies a complete listing that is known to have been current at `proof`.
+  /// Applies a complete listing that was current at `verified_at`; infinite
+  /// past if that time is unknown.
   virtual void apply_listing(const object_listing& listing,
                              absl::Time verified_at) = 0;
   /// Applies the answer to a watch that was sent at `sent`. Returns the delay
--- a/src/store-sync.cc
+++ b/src/store-sync.cc
@@ -10,10 +10,9 @@
 
 namespace net = boost::asio;
 
-/// Bounds of the delay after a failed call. The longer delays are for nodes on
-/// which no others depend: a node with dependents detects the end of an outage
-/// for them, so that the rest retry only in case the store rejects calls of
-/// just those nodes.
+/// Bounds of the delay after a failed call. Nodes that others may follow use
+/// the shorter delays and detect the end of an outage for all. The other nodes
+/// retry only in case the store rejects just their calls.
 constexpr absl::Duration min_retry_delay = absl::Milliseconds(150);
 constexpr absl::Duration max_retry_delay = absl::Milliseconds(900);
 constexpr absl::Duration min_slow_retry_delay = absl::Milliseconds(600);
--- a/test/fleet-adapter-test.cc
+++ b/test/fleet-adapter-test.cc
@@ -83,7 +83,7 @@
 }
 
 /// A valid entry as written by a server.
-json good_entry() {
+json valid_entry() {
   return {{"service", "x"},
           {"addr", "10.0.0.1:80"},
           {"zone", "z"},
@@ -111,7 +111,7 @@
 TEST(fleet_adapter, reads_group_membership_of_a_server) {
   std::string fault;
   const auto entry =
-      adapter->read_server(object_of("servers", "i-1", good_entry()), fault);
+      adapter->read_server(object_of("servers", "i-1", valid_entry()), fault);
   ASSERT_TRUE(entry);
   EXPECT_EQ(fault, "");
   EXPECT_EQ(entry->id, "i-1");
@@ -122,7 +122,7 @@
 }
 
 TEST(fleet_adapter, reads_remaining_cold_time) {
-  json spec = good_entry();
+  json spec = valid_entry();
   spec["cold_left_ms"] = 2750;
   std::string fault;
   const auto entry =
@@ -144,7 +144,7 @@
 TEST(fleet_adapter, rejects_entry_without_a_required_field) {
   for (const char* name : {"service", "addr", "zone", "version", "slots",
                            "state", "cold_left_ms", "seq"}) {
-    json spec = good_entry();
+    json spec = valid_entry();
     spec.erase(name);
     EXPECT_EQ(fault_of(spec), name);
   }
@@ -155,17 +155,17 @@
 /// `born`.
 TEST(fleet_adapter, accepts_entry_without_optional_fields) {
   for (const char* name : {"domain", "staged", "group", "born"}) {
-    json spec = good_entry();
+    json spec = valid_entry();
     spec.erase(name);
     EXPECT_EQ(fault_of(spec), "");
   }
-  json spec = good_entry();
+  json spec = valid_entry();
   spec["group"] = {{"name", ""}, {"epoch", 0}, {"rank", 0}, {"state", ""}};
   EXPECT_EQ(fault_of(spec), "");
 }
 
 TEST(fleet_adapter, rejects_entry_with_invalid_field) {
-  const std::vector<std::pair<const char*, json>> wrong = {
+  const std::vector<std::pair<const char*, json>> invalid = {
       {"service", 7},
       {"service", ""},
       {"addr", "nowhere"},
@@ -196,8 +196,8 @@
        {{"name", "m.5"}, {"epoch", 5}, {"rank", 1}, {"state", "asleep"}}},
       {"group",
        {{"name", "m.5"}, {"epoch", 5}, {"rank", -1}, {"state", "ready"}}}};
-  for (const auto& [name, value] : wrong) {
-    json spec = good_entry();
+  for (const auto& [name, value] : invalid) {
+    json spec = valid_entry();
     spec[name] = value;
     EXPECT_EQ(fault_of(spec), name) << value;
   }
@@ -206,19 +206,19 @@
 TEST(fleet_adapter, rejects_entry_that_is_no_object_or_too_large) {
   EXPECT_EQ(fault_of(nullptr), "not an object");
   EXPECT_EQ(fault_of(json::array({1, 2})), "not an object");
-  json spec = good_entry();
+  json spec = valid_entry();
   spec["note"] = std::string(1 << 20, 'x');
   EXPECT_EQ(fault_of(spec), "too large");
   std::string fault;
-  object cut = object_of("servers", "i-1", good_entry());
-  cut.body.resize(cut.body.size() / 2);
-  EXPECT_FALSE(adapter->read_server(cut, fault));
+  object truncated = object_of("servers", "i-1", valid_entry());
+  truncated.body.resize(truncated.body.size() / 2);
+  EXPECT_FALSE(adapter->read_server(truncated, fault));
   EXPECT_EQ(fault, "not an object");
 }
 
 /// Any bytes give either an entry or a reason.
 RC_GTEST_PROP(fleet_adapter, corrupted_entry_is_read_or_rejected, ()) {
-  object o = object_of("servers", "i-1", good_entry());
+  object o = object_of("servers", "i-1", valid_entry());
   const int changes = *rc::gen::inRange(1, 6);
   for (int i = 0; i < changes; ++i) {
     const auto at = *rc::gen::inRange<size_t>(0, o.body.size());
--- a/test/node-message-test.cc
+++ b/test/node-message-test.cc
@@ -34,9 +34,9 @@
   g.speeds = {{"large.7", 2.5, 12}};
   g.demand = {{"lm", "large", 40, 28000, 4500, 1.5}};
   const auto bytes = encode(sample(g));
-  const auto back = decode_message(bytes.data(), bytes.size());
-  ASSERT_TRUE(back);
-  EXPECT_EQ(*back, sample(g));
+  const auto decoded = decode_message(bytes.data(), bytes.size());
+  ASSERT_TRUE(decoded);
+  EXPECT_EQ(*decoded, sample(g));
 }
 
 TEST(node_message, grant_and_limit_messages_round_trip) {
@@ -49,9 +49,9 @@
                     {{"s2", 0}, std::nullopt, absl::ZeroDuration()}}}};
   for (const auto& content : contents) {
     const auto bytes = encode(sample(content));
-    const auto back = decode_message(bytes.data(), bytes.size());
-    ASSERT_TRUE(back);
-    EXPECT_EQ(*back, sample(content));
+    const auto decoded = decode_message(bytes.data(), bytes.size());
+    ASSERT_TRUE(decoded);
+    EXPECT_EQ(*decoded, sample(content));
   }
 }
 
@@ -65,9 +65,9 @@
   report.digest = 99;
   report.wants_reply = true;
   const auto bytes = encode(sample(report));
-  const auto back = decode_message(bytes.data(), bytes.size());
-  ASSERT_TRUE(back);
-  EXPECT_EQ(*back, sample(report));
+  const auto decoded = decode_message(bytes.data(), bytes.size());
+  ASSERT_TRUE(decoded);
+  EXPECT_EQ(*decoded, sample(report));
 }
 
 TEST(node_message, store_update_round_trip) {
@@ -88,23 +88,23 @@
   n.all_servers = true;
   n.requests_seen = true;
   const auto bytes = encode(sample(n));
-  const auto back = decode_message(bytes.data(), bytes.size());
-  ASSERT_TRUE(back);
-  EXPECT_EQ(*back, sample(n));
+  const auto decoded = decode_message(bytes.data(), bytes.size());
+  ASSERT_TRUE(decoded);
+  EXPECT_EQ(*decoded, sample(n));
 }
 
 TEST(node_message, store_update_request_round_trip) {
   const auto bytes = encode(sample(store_update_request{3, {11, 14}}));
-  const auto back = decode_message(bytes.data(), bytes.size());
-  ASSERT_TRUE(back);
-  EXPECT_EQ(*back, sample(store_update_request{3, {11, 14}}));
+  const auto decoded = decode_message(bytes.data(), bytes.size());
+  ASSERT_TRUE(decoded);
+  EXPECT_EQ(*decoded, sample(store_update_request{3, {11, 14}}));
 }
 
 TEST(node_message, suspicion_round_trip) {
   const auto bytes = encode(sample(suspicion{{"s1", "s2"}, "large.7"}));
-  const auto back = decode_message(bytes.data(), bytes.size());
-  ASSERT_TRUE(back);
-  EXPECT_EQ(*back, sample(suspicion{{"s1", "s2"}, "large.7"}));
+  const auto decoded = decode_message(bytes.data(), bytes.size());
+  ASSERT_TRUE(decoded);
+  EXPECT_EQ(*decoded, sample(suspicion{{"s1", "s2"}, "large.7"}));
 }
 
 TEST(node_message, holder_states_are_ordered_by_version_and_sequence) {
@@ -127,8 +127,8 @@
   store_update n;
   n.servers = {{sample_server(), false, absl::ZeroDuration()}};
   std::string bytes = encode(sample(n));
-  const auto hits = *rc::gen::inRange(1, 6);
-  for (int i = 0; i < hits; ++i) {
+  const auto changes = *rc::gen::inRange(1, 6);
+  for (int i = 0; i < changes; ++i) {
     const auto at = *rc::gen::inRange<size_t>(0, bytes.size());
     bytes[at] = static_cast<char>(*rc::gen::inRange(0, 256));
   }
