--- a/src/node-context.cc
+++ b/src/node-context.cc
@@ -1,4 +1,4 @@
-// The node's clock, and what follows from its state.
+// The node's clock and the values derived from its state.
 #include "node-context.h"
 
 #include <algorithm>
@@ -11,8 +11,8 @@
 namespace spokesail {
 namespace {
 
-/// Part of a process' memory for what is held for callers; the rest is for the
-/// process itself and for what the kernel holds of its connections.
+/// Fraction of the process' memory for buffered requests and answers. The rest
+/// is for the process itself and the kernel's socket buffers.
 constexpr double buffered_memory_fraction = 0.4;
 
 size_t max_buffered_bytes(const node_settings& settings) {
@@ -25,13 +25,13 @@
 node_context::node_context(const node_settings& node_settings_in,
                            boost::asio::io_context& io,
                            platform_adapter& platform, object_store& objects,
-                           http_fetcher& fetch, node_log& lines)
+                           http_fetcher& fetch, node_log& logger)
     : settings(node_settings_in),
       loop(io),
       adapter(platform),
       store(objects),
       fetcher(fetch),
-      log(lines),
+      log(logger),
       pool(io.get_executor()),
       random{std::mt19937_64(std::random_device()())},
       started(boot_now()),
--- a/src/node-log.cc
+++ b/src/node-log.cc
@@ -1,4 +1,4 @@
-// Log lines with a bound for each event and second.
+// Writes log lines at a bounded rate per event.
 #include "node-log.h"
 
 #include <absl/strings/str_cat.h>
@@ -11,10 +11,11 @@
 namespace spokesail {
 namespace {
 
-/// Lines that wait for the writer; the oldest go first when it falls behind.
+/// Maximum lines queued for the writer thread. The oldest are dropped when it
+/// falls behind.
 constexpr size_t log_queue_size = 4096;
 
-/// Lines a second of one event. A node carries some tens of requests a second.
+/// Maximum lines per second and event. A node serves tens of requests a second.
 constexpr int max_request_lines = 60;
 constexpr int max_state_change_lines = 300;
 
@@ -32,8 +33,8 @@
 
 node_log::~node_log() { spdlog::shutdown(); }
 
-void node_log::begin_second(absl::Time now) {
-  this->second = now;
+void node_log::reset_quotas(absl::Time now) {
+  this->second_start = now;
   for (auto& [event, q] : this->quotas) {
     if (q.omitted > 0) {
       spdlog::info("event=lines_left_out of={} count={}", event, q.omitted);
@@ -42,13 +43,14 @@
   }
 }
 
-void node_log::write(log_category weight, const char* event,
+void node_log::write(log_category category, const char* event,
                      const std::vector<log_field>& fields, absl::Time now) {
-  if (now - this->second >= absl::Seconds(1)) this->begin_second(now);
+  if (now - this->second_start >= absl::Seconds(1)) this->reset_quotas(now);
   quota& q = this->quotas[event];
-  const int most = weight == log_category::request ? max_request_lines
-                                                   : max_state_change_lines;
-  if (q.written >= most) {
+  const int max_lines = category == log_category::request
+                            ? max_request_lines
+                            : max_state_change_lines;
+  if (q.written >= max_lines) {
     q.omitted++;
     this->omitted_total++;
     return;
--- a/src/node-request.cc
+++ b/src/node-request.cc
@@ -1,4 +1,4 @@
-// Requests at a node: which places are open, and what their life leads to.
+// Requests at a node: their open targets, and the effects of their events.
 #include <algorithm>
 
 #include "detail/node-step.h"
@@ -6,11 +6,11 @@
 namespace spokesail::detail {
 namespace {
 
-/// A member may be out of sight for this long before the attempts that run
-/// at its group are given up.
+/// Attempts that run at a group are abandoned after one of its members has been
+/// lost for this long.
 constexpr absl::Duration member_loss_grace = absl::Seconds(1);
 
-/// What callers are told when nothing better is known.
+/// Estimated time until a target opens, sent to refused callers.
 constexpr absl::Duration default_retry_after = absl::Seconds(10);
 
 int share_of(int capacity, size_t nodes) {
@@ -26,22 +26,23 @@
 
 std::vector<open_target> node_step::open_places(
     target_kind kind, const std::string& target) const {
-  std::vector<open_target> places;
-  if (!this->s.config) return places;
+  std::vector<open_target> targets;
+  if (!this->s.config) return targets;
   const size_t nodes = this->s.members.alive_in_hall(this->now).size();
   const auto add = [&](attempt_target t, const std::string& host,
                        int capacity) {
-    open_target place;
-    place.target = std::move(t);
-    place.capacity = capacity;
-    place.share = share_of(capacity, nodes);
-    const auto seen = this->s.presence.latest(host);
-    if (seen) place.reported = seen->load.running + seen->load.queued;
-    places.push_back(std::move(place));
+    open_target result;
+    result.target = std::move(t);
+    result.capacity = capacity;
+    result.share = share_of(capacity, nodes);
+    const auto observed = this->s.presence.latest(host);
+    if (observed)
+      result.reported = observed->load.running + observed->load.queued;
+    targets.push_back(std::move(result));
   };
   if (kind == target_kind::model) {
     const model_config* model = find_model(*this->s.config, target);
-    if (!model) return places;
+    if (!model) return targets;
     for (const auto& g : this->s.groups.groups) {
       if (g.model != target || !group_open(this->s, g, this->now)) continue;
       const std::string& leader = g.hosts.front();
@@ -56,10 +57,10 @@
       add({g.name, host->second.address, g.incarnation, false}, leader,
           model->max_concurrent);
     }
-    return places;
+    return targets;
   }
   const service_config* service = find_service(*this->s.config, target);
-  if (!service) return places;
+  if (!service) return targets;
   for (const auto& [name, info] : this->s.hosts) {
     if (info.service != target || info.leaving) continue;
     if (this->s.drained.count(name) != 0) continue;
@@ -69,12 +70,13 @@
     }
     add({name, info.address, 0, false}, name, service->max_concurrent);
   }
-  return places;
+  return targets;
 }
 
 bool node_step::can_complete(target_kind kind,
                              const attempt_target& target) const {
-  // A plain service's broken connection tells all there is to know.
+  // A plain service has no group members to check; a lost server shows as a
+  // broken connection.
   if (kind == target_kind::service) return true;
   for (const auto& g : this->s.groups.groups) {
     if (g.name != target.name) continue;
@@ -171,7 +173,7 @@
   for (const auto& [name, m] : this->s.members.all()) {
     if (m.info.hall != this->s.options.self.hall) continue;
     const bool behind = m.revision > this->s.revision;
-    // Only a young node waits for its peers' revision.
+    // Only a node that started recently waits for its peers' revision.
     if (behind && age < this->s.options.member_window) return false;
   }
   return true;
--- a/src/peer-link.cc
+++ b/src/peer-link.cc
@@ -16,21 +16,23 @@
 
 constexpr char node_kind[] = "entry-nodes";
 
-/// How often the store's list of nodes is read, from a copy that may be stale:
-/// a new node also tells of itself by its own messages.
+/// Interval at which the store's list of nodes is read. A copy that may be
+/// stale is enough, since a new node also sends messages to its peers.
 constexpr absl::Duration list_period = absl::Seconds(15);
-constexpr absl::Duration first_list_period = absl::Milliseconds(700);
+/// Delay between attempts to enroll this node.
+constexpr absl::Duration enroll_retry_delay = absl::Milliseconds(700);
 
-/// A peer that has said nothing for this long is not counted as living.
+/// A peer that has sent nothing for this long does not count as alive.
 constexpr absl::Duration peer_timeout = absl::Seconds(3);
 
-/// Nothing is sent any more to a node that was not heard of for this long.
+/// Nothing is sent to a peer that was not listed and sent nothing for this
+/// long.
 constexpr absl::Duration peer_forget_time = absl::Seconds(60);
 
-/// A datagram is not larger than this.
+/// Maximum size of a datagram in bytes.
 constexpr size_t max_datagram_bytes = 60000;
 
-/// Whether a node's entry in the store says what it should.
+/// Whether a node's entry in the store equals `spec`.
 bool entry_matches(const std::string& body, const std::string& spec) {
   const json found = json::parse(body, nullptr, false);
   return found == json::parse(spec);
@@ -41,13 +43,13 @@
 peer_link::peer_link(node_context& state)
     : node(state), socket(state.loop), boot(state.random.engine()) {
   boost::system::error_code error;
-  const auto at = parse_endpoint(state.settings.peer_address, error);
+  const auto endpoint = parse_endpoint(state.settings.peer_address, error);
   this->socket.open(udp::v4());
-  this->socket.bind(udp::endpoint(at.address(), at.port()));
+  this->socket.bind(udp::endpoint(endpoint.address(), endpoint.port()));
 }
 
 bool peer_link::reachable(const peer_node& p) const {
-  const absl::Time last = std::max(p.last_heard, p.listed);
+  const absl::Time last = std::max(p.last_heard, p.last_listed);
   return p.endpoint.port() != 0 && this->node.now() - last <= peer_forget_time;
 }
 
@@ -76,8 +78,8 @@
 std::vector<std::string> peer_link::reachable_peers() const {
   std::vector<std::string> out;
   for (const auto& [name, p] : this->peers) {
-    const bool silent = this->in_own_hall(p) && !this->alive(p);
-    if (this->reachable(p) && !silent) out.push_back(name);
+    const bool unresponsive = this->in_own_hall(p) && !this->alive(p);
+    if (this->reachable(p) && !unresponsive) out.push_back(name);
   }
   return out;
 }
@@ -92,10 +94,10 @@
   return out;
 }
 
-int peer_link::count_reachable_peers(bool other_halls) const {
+int peer_link::count_reachable_peers(bool remote_halls) const {
   return static_cast<int>(
       std::count_if(this->peers.begin(), this->peers.end(), [&](const auto& p) {
-        return this->in_own_hall(p.second) != other_halls &&
+        return this->in_own_hall(p.second) != remote_halls &&
                this->reachable(p.second);
       }));
 }
@@ -110,8 +112,8 @@
 std::string peer_link::address_of(const std::string& name) const {
   const auto found = this->peers.find(name);
   if (found == this->peers.end()) return "";
-  const auto& at = found->second.endpoint;
-  return absl::StrCat(at.address().to_string(), ":", at.port());
+  const auto& endpoint = found->second.endpoint;
+  return absl::StrCat(endpoint.address().to_string(), ":", endpoint.port());
 }
 
 std::string peer_link::hall_of(const std::string& name) const {
@@ -168,16 +170,16 @@
   if (!address.is_string() || !hall.is_string()) return;
   if (!cores.is_null() && !cores.is_number()) return;
   boost::system::error_code error;
-  const auto at = parse_endpoint(address.get<std::string>(), error);
+  const auto endpoint = parse_endpoint(address.get<std::string>(), error);
   if (error) return;
   peer_node& p = this->peers[o.key.name];
-  p.endpoint = udp::endpoint(at.address(), at.port());
+  p.endpoint = udp::endpoint(endpoint.address(), endpoint.port());
   p.hall = hall.get<std::string>();
   p.cores = cores.is_null() ? 1 : cores.get<float>();
-  p.listed = this->node.now();
-  // Who is listed when this node starts counts as living until it is silent
-  // for as long as any other, so that a relay is found at once.
-  if (!this->list_read) p.last_heard = std::max(p.last_heard, p.listed);
+  p.last_listed = this->node.now();
+  // Peers that are listed when this node starts count as alive until they have
+  // sent nothing for the usual time, so that a relay is found at once.
+  if (!this->list_read) p.last_heard = std::max(p.last_heard, p.last_listed);
 }
 
 net::awaitable<void> peer_link::jittered_sleep(absl::Duration time) {
@@ -185,20 +187,20 @@
 }
 
 net::awaitable<void> peer_link::maintain_peers() {
-  // A node that starts again under its earlier address is on the list already,
-  // and any node that came since has found it there and speaks first: a copy
-  // that may be stale is enough, at a tenth of the price of a call, where
-  // enrolling and listing take two or three.
+  // A node that restarts under the same address is on the list already, and
+  // nodes that were added since have found it there and send to it first. So a
+  // copy that may be stale is enough. It costs a tenth of a normal call, where
+  // enrolling and listing take two or three calls.
   bool enrolled =
       co_await this->list_peers(true) == list_result::own_entry_present;
   this->list_read = enrolled;
-  for (int tries = 0; !enrolled; ++tries) {
+  for (int attempts = 0; !enrolled; ++attempts) {
     enrolled = co_await this->enroll();
-    // Of two nodes, the one that enrolled later finds the other on a list that
-    // is not stale.
-    const list_result listed = co_await this->list_peers(tries > 0);
-    if (listed != list_result::failed) this->list_read = true;
-    if (!enrolled) co_await this->jittered_sleep(first_list_period);
+    // Of two nodes that enroll at the same time, the later one finds the other,
+    // provided that the list is not stale.
+    const list_result result = co_await this->list_peers(attempts > 0);
+    if (result != list_result::failed) this->list_read = true;
+    if (!enrolled) co_await this->jittered_sleep(enroll_retry_delay);
   }
   for (;;) {
     co_await this->jittered_sleep(list_period);
@@ -211,8 +213,8 @@
   if (message.node == this->node.settings.node) return;
   const absl::Time now = this->node.now();
   peer_node& p = this->peers[message.node];
-  const bool old = p.boot == message.boot && message.sequence <= p.sequence;
-  if (old) {
+  const bool stale = p.boot == message.boot && message.sequence <= p.sequence;
+  if (stale) {
     this->node.metrics.count_update_event("overtaken");
     this->node.log.state_change("message_overtaken",
                                 {{"peer", message.node},
@@ -221,15 +223,15 @@
                                 now);
     return;
   }
-  const bool back = now - p.last_heard >= peer_timeout;
-  // A node that is not on the list yet is answered where it speaks from.
-  if (p.listed == absl::InfinitePast()) p.endpoint = from;
+  const bool reappeared = now - p.last_heard >= peer_timeout;
+  // Messages to a node that is not on the list yet go to its source address.
+  if (p.last_listed == absl::InfinitePast()) p.endpoint = from;
   p.hall = message.hall;
   p.cores = message.cores;
   p.boot = message.boot;
   p.sequence = message.sequence;
   p.last_heard = now;
-  if (back) {
+  if (reappeared) {
     this->node.log.state_change("peer_heard", {{"peer", message.node}}, now);
   }
   this->dispatch(message);
@@ -279,7 +281,8 @@
 
 void peer_link::send_to(const peer_node& p, const std::string& bytes) {
   boost::system::error_code ignored;
-  // A datagram that cannot be sent is made up for by the next.
+  // A datagram that cannot be sent is not retried: later ones repeat its
+  // content.
   this->socket.send_to(net::buffer(bytes), p.endpoint,
                        udp::socket::message_flags{}, ignored);
   this->node.metrics.count_peer_bytes("out", static_cast<double>(bytes.size()));
@@ -297,10 +300,10 @@
   this->send_to(found->second, encode(this->make_message(std::move(content))));
 }
 
-void peer_link::send_all(const message_content& content, bool other_halls) {
+void peer_link::send_all(const message_content& content, bool remote_halls) {
   const std::string bytes = encode(this->make_message(content));
   for (const auto& [name, p] : this->peers) {
-    if (this->in_own_hall(p) == other_halls || !this->reachable(p)) continue;
+    if (this->in_own_hall(p) == remote_halls || !this->reachable(p)) continue;
     this->send_to(p, bytes);
   }
 }
--- a/test/peer-test.cc
+++ b/test/peer-test.cc
@@ -1,4 +1,4 @@
-// The link between entry hosts, over loopback.
+// The RPC link between entry hosts, over loopback.
 #include "spokesail/peer.h"
 
 #include <absl/synchronization/mutex.h>
@@ -11,31 +11,31 @@
 constexpr char address_a[] = "127.0.0.1:20931";
 constexpr char address_b[] = "127.0.0.1:20932";
 
-/// Tries, each after a short sleep, before a test gives up.
+/// Number of attempts, each followed by a short sleep, before a test fails.
 constexpr int max_tries = 400;
 
-/// A link that answers every beat and counts those it took.
+/// A link that answers every heartbeat and counts received ones.
 class answering_node {
  public:
   explicit answering_node(const std::string& address)
       : link(make_rpc_link(
-            address, [this](event_body e) { this->take(std::move(e)); },
+            address, [this](event_body e) { this->on_event(std::move(e)); },
             [](const char*, size_t) {})) {}
 
   int heartbeats() {
     absl::MutexLock lock(&this->mutex);
-    return this->taken;
+    return this->received;
   }
   int acks() {
     absl::MutexLock lock(&this->mutex);
-    return this->answered;
+    return this->acknowledged;
   }
   heartbeat last() {
     absl::MutexLock lock(&this->mutex);
     return this->latest;
   }
 
-  /// Sends beats until one more has been answered.
+  /// Sends heartbeats until one more has been answered.
   bool reach(const std::string& address, const heartbeat& b) {
     const int before = this->acks();
     for (int i = 0; i < max_tries; i++) {
@@ -49,23 +49,23 @@
   std::unique_ptr<rpc_peer_link> link;
 
  private:
-  void take(event_body e) {
+  void on_event(event_body e) {
     if (const auto* b = std::get_if<heartbeat_event>(&e)) {
       {
         absl::MutexLock lock(&this->mutex);
-        this->taken++;
+        this->received++;
         this->latest = b->content;
       }
       this->link->reply_heartbeat(b->token, heartbeat_ack{});
     } else if (std::holds_alternative<heartbeat_ack_event>(e)) {
       absl::MutexLock lock(&this->mutex);
-      this->answered++;
+      this->acknowledged++;
     }
   }
 
   absl::Mutex mutex;
-  int taken = 0;
-  int answered = 0;
+  int received = 0;
+  int acknowledged = 0;
   heartbeat latest;
 };
 
@@ -90,21 +90,21 @@
   return b;
 }
 
-TEST(peer, a_beat_arrives_as_it_was_sent) {
+TEST(peer, heartbeat_arrives_as_sent) {
   answering_node a(address_a);
   answering_node b(address_b);
   ASSERT_TRUE(a.reach(address_b, full_heartbeat()));
   EXPECT_EQ(b.last(), full_heartbeat());
 }
 
-TEST(peer, a_peer_that_closes_and_returns_is_reached_again) {
+TEST(peer, reconnects_to_peer_that_restarts) {
   answering_node a(address_a);
   for (int i = 0; i < 3; i++) {
     answering_node b(address_b);
     ASSERT_TRUE(a.reach(address_b, full_heartbeat()));
     ASSERT_TRUE(b.reach(address_a, full_heartbeat()));
   }
-  // Nobody there: calls fail, and the process lives on.
+  // Nothing listens there: calls fail, and the process must survive.
   for (int i = 0; i < 20; i++) {
     a.link->send_heartbeat(address_b, full_heartbeat());
     absl::SleepFor(absl::Milliseconds(5));
