--- a/include/spokesail/backoff.h
+++ b/include/spokesail/backoff.h
@@ -1,4 +1,4 @@
-// Pauses between retries that grow while the retries fail.
+// Exponential backoff with jitter.
 #pragma once
 
 #include <absl/time/time.h>
@@ -7,18 +7,19 @@
 
 namespace spokesail {
 
-/// Doubles a pause from `first` up to `longest`, each time with a quarter more
-/// or less at random, so that many nodes do not retry at the same moment.
+/// Doubles the delay from `first` up to `longest`. Each delay varies at random
+/// by up to a quarter either way, so that many nodes do not retry at the same
+/// moment.
 class backoff {
  public:
   backoff(absl::Duration first, absl::Duration longest)
       : first(first), longest(longest), current(first) {}
 
-  /// The pause after a failed try.
+  /// The delay after a failed attempt.
   absl::Duration next(random_stream& random);
-  /// Starts anew, after a try that succeeded.
+  /// Returns to the first delay, after an attempt that succeeded.
   void reset() { this->current = this->first; }
-  /// Changes the bounds without starting anew.
+  /// Changes the bounds; the delay reached so far is kept between them.
   void set_bounds(absl::Duration new_first, absl::Duration new_longest);
 
  private:
--- a/include/spokesail/byte-budget.h
+++ b/include/spokesail/byte-budget.h
@@ -1,4 +1,4 @@
-// Bytes that a node holds for its callers, against what it may hold.
+// Accounts for the memory that a node holds for its callers.
 #pragma once
 
 #include <cstddef>
@@ -7,8 +7,9 @@
 
 namespace spokesail {
 
-/// Counts requests and answers that are held in memory. Callers and servers
-/// may be slow, so that what is held grows with them, not with the requests.
+/// Counts the bytes of requests and answers held in memory. Callers and
+/// servers may be slow, so this memory grows with their slowness and not with
+/// the number of requests.
 class byte_budget {
  public:
   /// Holds at most `limit` bytes; 0 for no limit.
@@ -18,25 +19,25 @@
   void remove(size_t bytes) { this->byte_charge -= bytes; }
 
   size_t held() const { return this->byte_charge; }
-  /// Begins an answer that will grow, and ends it. Returns its number.
+  /// Registers an answer that will grow, and removes it. Returns its number.
   uint64_t begin_answer();
   void end_answer(uint64_t answer) { this->answers.erase(answer); }
-  /// Whether an answer may grow. The oldest may at any size, since answers that
-  /// waited for each other would free no room.
+  /// Whether an answer may grow. The oldest always may, since answers that
+  /// wait for each other would never free memory.
   bool may_grow(uint64_t answer) const;
-  /// Whether a further request may be taken. The rest is for the answers to
-  /// those that are under way.
+  /// Whether a new request may be accepted. The rest of the budget is reserved
+  /// for the answers to running requests.
   bool accepts_requests() const;
 
  private:
   size_t limit;
   size_t byte_charge = 0;
   uint64_t last_answer = 0;
-  /// Answers that grow, the oldest first.
+  /// Numbers of growing answers, the oldest first.
   std::set<uint64_t> answers;
 };
 
-/// Bytes that count in a budget for as long as this lives.
+/// Counts bytes in a budget for as long as it lives.
 class byte_charge {
  public:
   explicit byte_charge(byte_budget& budget) : budget(budget) {}
@@ -44,7 +45,7 @@
   byte_charge(const byte_charge&) = delete;
   byte_charge& operator=(const byte_charge&) = delete;
 
-  /// Counts so many bytes in place of those before.
+  /// Replaces the number of bytes counted.
   void set(size_t bytes);
 
  private:
@@ -52,7 +53,7 @@
   size_t counted = 0;
 };
 
-/// Bytes of an answer that grows while it is read.
+/// Counts the bytes of an answer that grows while it is read.
 class answer_charge {
  public:
   explicit answer_charge(byte_budget& budget)
--- a/include/spokesail/engine-model.h
+++ b/include/spokesail/engine-model.h
@@ -11,29 +11,29 @@
 
 namespace spokesail {
 
-/// A serving group as a request may find it.
+/// A serving group as a candidate for a request.
 struct group_option {
   std::string name;
-  /// Requests in it, over all entry hosts.
+  /// Requests in flight there, over all entry hosts.
   int running = 0;
-  /// Prompt tokens that are sent and not yet answered with a first event.
+  /// Prompt tokens of the requests there whose first event has not come.
   double pending_prefill_tokens = 0;
   /// Above 1 if the group is slower than its engine's figures.
   double slowness = 1;
-  /// What sending a request there counts as beside its time, in ms.
+  /// Added cost of sending a request there, in ms.
   double remote_penalty_ms = 0;
   bool operator==(const group_option&) const = default;
 };
 
-/// What a request asks of an engine, in tokens.
+/// The size of a request, in tokens.
 struct request_size {
   double prompt = 0;
   double answer = 0;
   bool operator==(const request_size&) const = default;
 };
 
-/// Time of one step of a group that runs so many requests of this mean size, in
-/// ms, before the model's pace.
+/// Time of one step of a group that runs this many requests of this mean size,
+/// in ms, before the model's factor is applied.
 double step_ms(const engine_profile& engine, double requests,
                const request_size& mean);
 
@@ -42,16 +42,16 @@
                               const model_profile& model,
                               const group_option& option, double prompt);
 
-/// Time between two events of the requests in `option` once `more` have
-/// joined, in ms, without the reading of further prompts.
+/// Time between two events of the requests in `option` once `more` have joined,
+/// in ms, without the reading of further prompts.
 double predict_event_gap_ms(const engine_profile& engine,
                             const model_profile& model,
                             const group_option& option, int more);
 
-/// The option whose answer, and whose disturbance of those that run there, is
-/// predicted to be least; nothing if each holds as many as it runs at once.
-/// Options that are about alike are drawn from, so that entry hosts that see
-/// the same do not all choose the same.
+/// The option with the least predicted cost: the time to answer plus the delay
+/// for the requests running there. Nothing if all options are full. Options
+/// with nearly equal cost are drawn from at random, so that entry hosts with
+/// the same view do not all choose the same one.
 std::optional<size_t> choose_group(const engine_profile& engine,
                                    const model_profile& model,
                                    const std::vector<group_option>& options,
--- a/include/spokesail/load-table.h
+++ b/include/spokesail/load-table.h
@@ -10,7 +10,8 @@
 
 namespace spokesail {
 
-/// What one node has in flight at one place (a group or a server).
+/// The requests that one node has in flight at one endpoint (a group or a
+/// server).
 struct endpoint_load {
   std::string endpoint;
   int running = 0;
@@ -19,44 +20,45 @@
   bool operator==(const endpoint_load&) const = default;
 };
 
-/// Sums own and peers' requests. A peer's word counts for a bounded time. The
-/// sums are kept as words come and go, so that a look-up costs the same
-/// however many peers there are.
+/// Sums this node's and its peers' requests. A peer's report expires after a
+/// fixed time. The sums are updated incrementally, so that a look-up costs the
+/// same however many peers there are.
 class load_table {
  public:
-  /// A peer that says nothing for this long is taken to have nothing in
-  /// flight; several gossip periods, so that a lost datagram does not matter.
+  /// A peer that reports nothing for this long is taken to have nothing in
+  /// flight. Spans several gossip periods, so that a lost datagram has no
+  /// effect.
   static constexpr absl::Duration peer_timeout = absl::Milliseconds(1500);
 
-  /// Takes a request as sent to a place, its prompt unread.
+  /// Counts a request sent to an endpoint, its prompt unread.
   void begin(const std::string& endpoint, double prompt_tokens);
-  /// Takes prompt tokens as read.
+  /// Counts prompt tokens as read.
   void read(const std::string& endpoint, double prompt_tokens);
-  /// Takes a request as ended.
+  /// Removes a request that has ended.
   void end(const std::string& endpoint);
 
-  /// Replaces what a peer has in flight. `far` tells that it is in another
-  /// data hall, or speaks for one.
+  /// Replaces a peer's report. `far` is set if the peer is in another data hall
+  /// or reports for one.
   void update_peer(const std::string& peer, std::vector<endpoint_load> loads,
                    absl::Time now, bool far = false);
 
-  /// Forgets a peer's word.
+  /// Drops a peer's report.
   void remove_peer(const std::string& peer);
 
-  /// All requests at a place, as far as this node knows.
+  /// All requests at an endpoint, as far as this node knows.
   endpoint_load total(const std::string& endpoint, absl::Time now);
 
-  /// Requests of this node that have begun.
+  /// Number of requests that this node has started.
   uint64_t begun() const { return this->begun_count; }
-  /// This node's own, for its peers.
+  /// This node's own requests, to report to its peers.
   std::vector<endpoint_load> own() const;
-  /// Requests of this node at one place.
+  /// Number of this node's requests at one endpoint.
   int own_running(const std::string& endpoint) const;
-  /// What this data hall, or all others, have in flight by place.
+  /// Requests in flight by endpoint, of this data hall or of all others.
   std::vector<endpoint_load> hall_sum(bool far, absl::Time now);
 
  private:
-  /// A peer's requests, and when it told of them.
+  /// A peer's requests, and when it reported them.
   struct peer_load {
     std::vector<endpoint_load> places;
     absl::Time at;
@@ -64,18 +66,18 @@
   };
   using sums = absl::flat_hash_map<std::string, endpoint_load>;
 
-  /// Adds a peer's requests to the sums, or takes them out again.
+  /// Adds a peer's requests to the sums, or subtracts them.
   void count(const peer_load& peer, int sign);
-  /// Takes out words that are too old.
+  /// Drops expired reports.
   void expire(absl::Time now);
 
   uint64_t begun_count = 0;
   sums mine;
-  /// Peers' requests, of this data hall and of the others.
+  /// Sums of the peers in this data hall and in the others.
   sums local_sums;
   sums remote_sums;
   absl::flat_hash_map<std::string, peer_load> peers;
-  /// No word becomes too old before.
+  /// Time of the oldest report; none expires before it does.
   absl::Time oldest = absl::InfiniteFuture();
 };
 
--- a/include/spokesail/prediction-error.h
+++ b/include/spokesail/prediction-error.h
@@ -1,4 +1,4 @@
-// How far first events come after what the engine's figures predict.
+// Learns the error of predicted first-event times.
 #pragma once
 
 #include <absl/time/time.h>
@@ -8,21 +8,21 @@
 
 namespace spokesail {
 
-/// Learns what first events take beyond their prediction. The median of the
-/// last ones counts, so that a few groups that stand still do not move it.
+/// Learns by how much first events come later than predicted. Uses the median
+/// of the latest samples, so that a few stalled groups do not affect it.
 class prediction_error {
  public:
-  /// First events that are remembered, and for how long.
+  /// Maximum number and age of the samples.
   static constexpr size_t max_samples = 31;
   static constexpr absl::Duration memory = absl::Seconds(10);
-  /// Below so many it is not known.
+  /// With fewer samples the error is unknown.
   static constexpr size_t min_samples = 5;
 
-  /// Takes note of a first event, its times in ms.
+  /// Records a first event; times in ms.
   void add_sample(double predicted_ms, double taken_ms, absl::Time now);
 
-  /// What a first event takes beyond its prediction, in ms; 0 if too few have
-  /// been seen of late.
+  /// The expected error of a prediction, in ms; 0 if there are too few recent
+  /// samples.
   double expected_ms(absl::Time now) const;
 
  private:
--- a/include/spokesail/request-admission.h
+++ b/include/spokesail/request-admission.h
@@ -1,4 +1,5 @@
-// Which requests a node sends, keeps waiting or refuses where room is short.
+// Decides which requests a node sends, queues or refuses when capacity is
+// short.
 #pragma once
 
 #include <absl/time/time.h>
@@ -16,30 +17,30 @@
 
 namespace spokesail {
 
-/// Bounds of what waits at one node.
+/// Limits of the queues of one node.
 struct admission_limits {
   /// Requests that wait for one model.
   size_t entries = 64;
-  /// Bytes of all that wait.
+  /// Total bytes of all waiting requests.
   uint64_t bytes = 16 << 20;
-  /// Longest wait for a place.
+  /// Longest time that a request waits for a slot.
   absl::Duration wait = absl::Milliseconds(150);
   bool operator==(const admission_limits&) const = default;
 };
 
-/// What a request asks of an engine's groups, and for whom.
+/// What a request needs of an engine's groups, and whom it is from.
 struct admission_request {
   uint64_t id = 0;
-  /// The places that it competes for: its service and model.
+  /// The slots that it competes for, named by service and model.
   std::string pool;
-  /// Its route.
+  /// Name of its route.
   std::string kind;
   std::string workspace;
   std::string caller;
   /// 0 is the most urgent, 9 the least.
   int rank = 0;
   request_size size;
-  /// Engine time that it asks for, in ms.
+  /// Engine time that it needs, in ms.
   double cost_ms = 0;
   uint64_t bytes = 0;
   absl::Time arrived;
@@ -50,99 +51,99 @@
   bool operator==(const admission_request&) const = default;
 };
 
-/// Engine time that a request asks for where groups are full, in ms: the
-/// reading of its prompt, and its part of the steps that write its answer.
+/// Engine time that a request needs when groups are full, in ms: the time to
+/// read its prompt, and its share of the steps that generate its answer.
 double engine_time_ms(const engine_profile& engine, const model_profile& model,
                       const request_size& size);
 
-/// The places of one pool, as a node knows them at one moment.
+/// What a node knows of the slots of one pool at one moment.
 struct admission_view {
   const engine_profile& engine;
   const model_profile& model;
-  /// Groups that the request may go to.
+  /// Groups that the request may be sent to.
   const std::vector<group_option>& options;
-  /// Groups that all nodes send to; `options` may be some of them.
+  /// Number of groups that all nodes send to; `options` may be a subset.
   size_t groups = 1;
-  /// Nodes that send to them.
+  /// Number of nodes that send to them.
   int nodes = 1;
-  /// Age of what is known of their load.
+  /// Age of the reported load.
   absl::Duration load_age;
 };
 
-/// What becomes of a request.
+/// What is done with a request.
 enum class admission_action { send, wait, refuse };
 
-/// A verdict, and what it was given by.
+/// An admission decision and the figures it is based on.
 struct admission_decision {
   admission_action action = admission_action::wait;
-  /// Where to, if it is sent.
+  /// Index of the chosen option, if the request is sent.
   size_t option = 0;
-  /// Whether it is sent though its answer will be late.
+  /// Whether it is sent although its answer will be late.
   bool late = false;
   const char* reason = "";
-  /// When a place is expected, if it is not sent.
+  /// Expected time until a slot is free, if it is not sent.
   absl::Duration expected_wait = absl::ZeroDuration();
-  /// When its caller should come back, if it is refused.
+  /// Delay after which its caller should retry, if it is refused.
   absl::Duration retry_after = absl::ZeroDuration();
   /// The learned error of the prediction, in ms.
   double error_ms = 0;
-  /// Requests that can be in time, over all options.
+  /// Number of requests that can be in time, over all options.
   double timely_slots = 0;
 };
 
-/// Orders the requests of one node that compete for groups' places.
+/// Orders one node's requests that compete for slots of groups.
 class request_admission {
  public:
   explicit request_admission(admission_limits limits = {}) : limits(limits) {}
 
-  /// Lets a request compete. False if too much waits already.
+  /// Queues a request. Returns false if the queues are full.
   bool enqueue(const admission_request& request, absl::Time now);
 
-  /// Takes a request out; to be called however it ended.
+  /// Removes a request; must be called once it has ended, for any reason.
   void dequeue(const admission_request& request);
 
-  /// What becomes of a request that competes. One that is to wait asks again
-  /// a moment later.
+  /// Decides on a queued request. One that is to wait must ask again shortly
+  /// after.
   admission_decision decide(const admission_request& request,
                             const admission_view& view, absl::Time now,
                             random_stream& random);
 
-  /// The refusal of a request that could not enter.
+  /// The refusal of a request that could not be queued.
   admission_decision refuse_unqueued(const admission_request& request,
                                      const admission_view& view, absl::Time now,
                                      random_stream& random);
 
-  /// Takes note of a first event, its times in ms.
+  /// Records a first event; times in ms.
   void note_first_event(const std::string& pool, double predicted_ms,
                         double taken_ms, absl::Time now);
 
-  /// Requests that wait for a pool's places.
+  /// Number of requests that wait for a pool's slots.
   size_t waiting(const std::string& pool) const;
-  /// Bytes of all that wait.
+  /// Total bytes of all waiting requests.
   uint64_t waiting_bytes() const { return this->bytes; }
 
  private:
-  /// How often something happens a second, of late.
+  /// Exponentially weighted rate of an event, per second.
   struct event_rate {
     double rate = 0;
     absl::Time last = absl::InfinitePast();
     void add(absl::Time now);
     double at(absl::Time now) const;
   };
-  /// What is kept of the requests for one model.
+  /// State of the requests for one model.
   struct pool_state {
     pool_state();
     fair_queue queue;
     std::map<uint64_t, uint64_t> entered;
     prediction_error error;
     event_rate sent;
-    /// Times that a request took its chance at places that are short, and until
-    /// when the next one waits after a miss.
+    /// Rate of draws for scarce slots, and the time until which no draw is made
+    /// after a miss.
     event_rate draw_rate;
     absl::Time next_draw = absl::InfinitePast();
-    /// Usual time that answers have, in ms; 0 before the first request.
+    /// Moving average of the routes' goals, in ms; 0 before the first request.
     double mean_goal_ms = 0;
-    /// When the caller that was refused last is to come back.
+    /// When the caller that was refused last is to return.
     absl::Time next_retry_at = absl::InfinitePast();
   };
   struct forecast;
@@ -150,22 +151,23 @@
   static forecast make_forecast(const admission_request& request,
                                 const admission_view& view,
                                 const pool_state& pool, absl::Time now);
-  /// Has a request sent whose turn it is, or not yet.
+  /// Sends a request that can be in time and is first in the queue, unless the
+  /// draw for scarce slots makes it wait.
   static admission_decision send_in_time(const forecast& seen,
                                          const admission_view& view,
                                          const request_size& size,
                                          pool_state& pool, absl::Time now,
                                          random_stream& random);
-  /// Whether this node takes its part of places that are short.
+  /// Draws whether this node takes a share of scarce slots.
   static bool claim_share(const forecast& seen, const admission_view& view,
                           pool_state& pool, absl::Time now,
                           random_stream& random);
-  /// What becomes of one that can be in time nowhere.
+  /// Decides on a request that cannot be in time at any option.
   static admission_decision decide_late(const admission_request& request,
                                         const admission_view& view,
                                         const pool_state& pool,
                                         const forecast& seen, absl::Time now);
-  /// Says when the caller should come back.
+  /// Fills in a refusal, with the time after which the caller should return.
   static void refuse(const admission_request& request,
                      const admission_view& view, pool_state& pool,
                      const char* reason, absl::Time now, random_stream& random,
@@ -177,7 +179,7 @@
   admission_limits limits;
   std::map<std::string, pool_state> pools;
   uint64_t bytes = 0;
-  /// When callers that were refused were told to come back.
+  /// When refused callers were told to return.
   std::map<std::string, absl::Time> retry_times;
 };
 
--- a/include/spokesail/request-identity.h
+++ b/include/spokesail/request-identity.h
@@ -1,4 +1,4 @@
-// What makes two attempts the same request: who sends it, and what it asks.
+// Identifies a request over several attempts by its sender and its content.
 #pragma once
 
 #include <compare>
@@ -8,27 +8,27 @@
 
 namespace spokesail {
 
-/// Stands for a request over all its attempts, whatever their ids.
+/// Identifies a request over all its attempts, whose ids differ.
 struct request_identity {
-  /// Hash of the caller's workspace; that of the empty name if it has none. It
-  /// stands apart from the content, so that no caller can send a content whose
-  /// identity is that of another workspace's request.
+  /// Hash of the caller's workspace; that of the empty name if it has none.
+  /// Kept apart from the content, so that no caller can send content whose
+  /// identity equals that of another workspace's request.
   uint64_t workspace = 0;
   /// Hash of method, host, path and body.
   uint64_t content = 0;
   auto operator<=>(const request_identity&) const = default;
 };
 
-/// The identity of a request. Two contents of one workspace may share a hash
-/// with a chance of 2^-64.
+/// Computes the identity of a request. Two contents of one workspace have the
+/// same hash with a probability of 2^-64.
 request_identity identify_request(std::string_view workspace,
                                   std::string_view method,
                                   std::string_view host,
                                   std::string_view target,
                                   std::string_view body);
 
-/// An identity as hex digits, for logs. Nothing of the content can be read
-/// back from it.
+/// The identity as hex digits, for logs. The content cannot be recovered from
+/// it.
 std::string to_text(const request_identity& identity);
 
 }  // namespace spokesail
--- a/include/spokesail/requests.h
+++ b/include/spokesail/requests.h
@@ -1,4 +1,4 @@
-// The life of a request at an entry host: queue, attempts, outcome.
+// Processing of requests at an entry host: queue, attempts, outcome.
 #pragma once
 
 #include <absl/time/time.h>
@@ -27,32 +27,32 @@
   std::string workspace;
   int priority = 0;
   bool repeatable = true;
-  /// Whether the caller said so itself; if not, the service's list of methods
-  /// decides.
+  /// Whether the caller stated `repeatable` itself; if not, the service's list
+  /// of methods decides.
   bool repeatable_stated = false;
   std::string method;
   /// Idempotency key; empty if the caller gave none.
   std::string key;
   absl::Time deadline;
   std::optional<uint64_t> prefix;
-  /// Expected cost against others in the queue.
+  /// Expected cost relative to other requests in the queue.
   double cost = 1;
-  /// Whether another data hall's entry host has sent it here.
+  /// Whether another data hall's entry host forwarded it here.
   bool forwarded = false;
   bool operator==(const request_info&) const = default;
 };
 
-/// What the caller is told in the end.
+/// The kind of result that the caller gets.
 enum class outcome_kind { answered, refused, failed };
 
-/// The end of a request. `refused` says that it was not run, `failed` that it
-/// may have run.
+/// The result of a request. `refused` means that it was not run, `failed` that
+/// it may have run.
 struct outcome {
   outcome_kind kind = outcome_kind::answered;
   int http_status = 200;
   std::string code;
   std::string reason;
-  /// When to come back; zero if it makes no difference.
+  /// When to retry; zero if waiting makes no difference.
   absl::Duration retry_after = absl::ZeroDuration();
   bool operator==(const outcome&) const = default;
 };
@@ -61,13 +61,13 @@
 enum class attempt_end {
   /// The whole answer was passed on, whatever its status.
   whole,
-  /// The backend server did not start it, for certain.
+  /// The backend server certainly did not start it.
   not_started,
   /// It may have run; a part of the answer may have come.
   broken
 };
 
-/// Where an attempt goes.
+/// Where an attempt is sent.
 struct attempt_target {
   /// Name of the group, service host or entry host.
   std::string name;
@@ -83,16 +83,16 @@
   /// Unique over all attempts of all nodes; echoed by the backend server.
   std::string attempt;
   attempt_target target;
-  /// A call that may not be repeated goes over a new connection, since a
-  /// failed write on an old one leaves open whether it ran.
+  /// A call that may not be repeated uses a new connection, since a failed
+  /// write on an old one leaves open whether it ran.
   bool new_connection = false;
   bool operator==(const attempt_start&) const = default;
 };
 
-/// What the request table asks for.
+/// Actions that the request table requests of its caller.
 struct request_actions {
   std::vector<attempt_start> starts;
-  /// Attempts to give up; their requests go on or have ended.
+  /// Attempts to cancel; their requests are retried or have ended.
   std::vector<std::string> cancels;
   struct finish {
     uint64_t request = 0;
@@ -102,7 +102,7 @@
   std::vector<finish> finishes;
 };
 
-/// A place for requests at this moment, as the reducer sees it.
+/// A target that accepts requests now.
 struct open_target {
   attempt_target target;
   int capacity = 1;
@@ -110,23 +110,23 @@
   int reported = 0;
 };
 
-/// What the request table needs to know of the world.
+/// What the request table needs to know about the fleet.
 class routing_view {
  public:
   virtual ~routing_view() = default;
-  /// Places of this data hall that take requests now.
+  /// Targets of this data hall that accept requests now.
   virtual std::vector<open_target> open_places(
       target_kind kind, const std::string& target) const = 0;
-  /// Whether an attempt there can still end well: all members of the group
-  /// are present, also when it drains and takes no new requests.
+  /// Whether an attempt there can still complete: all members of the group are
+  /// present, even if it is draining and takes no new requests.
   virtual bool can_complete(target_kind kind,
                             const attempt_target& target) const = 0;
-  /// Entry hosts of other data halls that have an open place.
+  /// Entry hosts of other data halls that have an open target.
   virtual std::vector<attempt_target> other_halls(
       target_kind kind, const std::string& target) const = 0;
   /// The accepted configuration; null before there is one.
   virtual const configuration* config() const = 0;
-  /// A guess at when a place opens, for callers who are sent away.
+  /// Estimated time until a target opens, for callers that are refused.
   virtual absl::Duration estimated_reopen(const std::string& target) const = 0;
 };
 
@@ -145,22 +145,23 @@
                      random_stream& random, absl::Time now,
                      request_actions& out);
 
-  /// The caller hung up.
+  /// Ends a request whose caller has disconnected.
   void caller_gone(uint64_t request, request_actions& out);
 
-  /// Deadlines, groups that closed under their attempts, queues that move.
+  /// Ends overdue requests, abandons attempts at groups that closed, and sends
+  /// queued requests.
   void step(const routing_view& world, random_stream& random, absl::Time now,
             request_actions& out);
 
-  /// From now on new requests are refused.
+  /// Refuses all new requests from now on.
   void stop() { this->stopping = true; }
 
   size_t size() const { return this->requests.size(); }
   size_t queued() const;
-  /// Where a running attempt is; nothing if it has been given up.
+  /// The target of a running attempt; nothing if it was abandoned.
   std::optional<attempt_target> where(uint64_t request,
                                       const std::string& attempt) const;
-  /// Attempts of this node that run at a place.
+  /// Number of this node's attempts running at a target.
   int in_flight(const std::string& place) const;
 
  private:
@@ -173,7 +174,7 @@
     attempt_target target;
     int attempts = 0;
     int failures = 0;
-    /// Places that failed it, and until when they are passed over.
+    /// Targets that failed the request, and until when they are avoided.
     std::vector<std::string> avoided;
     absl::Time avoid_until = absl::InfinitePast();
   };
@@ -184,7 +185,7 @@
   };
   struct pool {
     fair_queue queue;
-    /// Mean time that an attempt holds its place, for guesses at the wait.
+    /// Mean time that an attempt occupies its target, to estimate waits.
     double service_seconds = 1;
   };
 
--- a/include/spokesail/retry-budget.h
+++ b/include/spokesail/retry-budget.h
@@ -1,5 +1,5 @@
-// Bounds how often requests are sent again, by service, as a node's share of
-// a budget that all nodes spend together.
+// Limits retries by service. Each node has a share of a budget that all nodes
+// of the fleet use together.
 #pragma once
 
 #include <absl/time/time.h>
@@ -11,8 +11,8 @@
 
 namespace spokesail {
 
-/// The fleet's budget: in any window, repeats at a service stay within
-/// `ratio` of the requests for it plus `slack`.
+/// The fleet's budget: in any window, retries at a service stay within `ratio`
+/// of the requests for it plus `slack`.
 struct retry_limits {
   double ratio = 0.2;
   absl::Duration window = absl::Seconds(10);
@@ -21,56 +21,56 @@
   bool operator==(const retry_limits&) const = default;
 };
 
-/// A service's budget at one node, as it stands.
+/// Usage of a service's budget at one node.
 struct retry_usage {
-  /// Callers' requests, and repeats that were sent, within the window.
+  /// Callers' requests, and retries sent, within the window.
   int requests = 0;
   int retries = 0;
-  /// Repeats that are reserved and not sent yet.
+  /// Retries that are reserved and not sent yet.
   int reserved = 0;
-  /// Repeats that are left now.
+  /// Retries that are left.
   double left = 0;
   bool operator==(const retry_usage&) const = default;
 };
 
 class retry_reservation;
 
-/// One node's part. A node may repeat `ratio` of its own requests and an equal
-/// part of the slack, so that the sum over all nodes keeps the budget whatever
-/// the others do. A process does not know what the one before it spent; until
-/// the window has passed it takes that for all that a node may spend, and
-/// spends no slack.
+/// One node's share of the budget. A node may retry `ratio` of its own requests
+/// plus an equal part of the slack, so that the sum over all nodes stays within
+/// the budget whatever the others do. A process does not know what its
+/// predecessor used. Until one window has passed it assumes that this was the
+/// node's whole share, and uses no slack.
 class retry_budget {
  public:
   /// `started` is when the process began.
   retry_budget(retry_limits limits, absl::Time started)
       : limits(limits), started(started) {}
 
-  /// Takes note of a caller's request.
+  /// Counts a caller's request.
   void count_request(const std::string& service, absl::Time now);
 
-  /// Sets one repeat aside; nothing if none is left. `nodes` is the most nodes
-  /// that may share the slack; nothing of it is used if that is not known. The
-  /// budget must outlive the reservation.
+  /// Reserves one retry; nothing if none is left. `nodes` is the largest number
+  /// of nodes that may share the slack; without it no slack is used. The budget
+  /// must outlive the reservation.
   std::optional<retry_reservation> reserve(const std::string& service,
                                            std::optional<int> nodes,
                                            absl::Time now);
 
-  /// How a service's budget stands.
+  /// Current usage of a service's budget.
   retry_usage account(const std::string& service, std::optional<int> nodes,
                       absl::Time now);
 
  private:
   friend class retry_reservation;
-  /// A service's requests and repeats within the window.
+  /// A service's requests and retries within the window.
   struct history {
     std::deque<absl::Time> requests;
     std::deque<absl::Time> retries;
     int reserved = 0;
   };
-  /// A service's history without what is older than the window.
+  /// A service's history, after entries older than the window are dropped.
   history& recent(const std::string& service, absl::Time now);
-  /// Repeats that this node may send within the window.
+  /// Number of retries that this node may send within the window.
   double allowed(const history& h, std::optional<int> nodes,
                  absl::Time now) const;
 
@@ -79,14 +79,14 @@
   std::map<std::string, history> services;
 };
 
-/// A repeat that was set aside. It goes back to the budget unless it is spent.
+/// A reserved retry. It returns to the budget unless it is spent.
 class retry_reservation {
  public:
   retry_reservation(retry_reservation&& other) noexcept;
   retry_reservation& operator=(retry_reservation&&) = delete;
   ~retry_reservation();
 
-  /// Counts the repeat as sent.
+  /// Counts the retry as sent.
   void spend(absl::Time now);
 
  private:
--- a/include/spokesail/routing-config.h
+++ b/include/spokesail/routing-config.h
@@ -1,4 +1,4 @@
-// What operators state about routes, backend services and workspaces.
+// The operators' configuration of routes, backend services and workspaces.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -13,12 +13,12 @@
 
 namespace spokesail {
 
-/// One model that an engine service can run, and how its groups behave.
+/// One model that an engine service can run, and the timing of its groups.
 struct model_profile {
   std::string name;
   /// Hosts that one serving group needs.
   int group_size = 1;
-  /// Part of the service's work that is expected to ask for this model, 0 to 1.
+  /// Expected fraction of the service's load that is for this model, 0 to 1.
   double share = 1;
   /// Factor on all times of the engine.
   double pace = 1;
@@ -35,27 +35,28 @@
   int slots = 1;
   /// Tokens that one group's memory holds.
   int64_t kv_tokens = 0;
-  /// Token steps that a pass with writers plays before it reads again.
+  /// Token steps of a pass that generates answers, before the next prompts are
+  /// read.
   int decode_steps_per_pass = 1;
-  /// Time of one step, and what each request and each thousand tokens of
-  /// context add to it.
+  /// Time of one step, and the time that each request and each thousand tokens
+  /// of context add to it.
   double step_ms = 1;
   double step_ms_per_request = 0;
   double step_ms_per_1k_context = 0;
-  /// Prompt tokens that are read in a millisecond.
+  /// Prompt tokens read per millisecond.
   double prefill_tokens_per_ms = 1;
-  /// Prompt tokens that one step reads at most.
+  /// Largest number of prompt tokens read in one step.
   int prefill_chunk = 1;
-  /// Mean tokens of prompts and answers, before any are seen.
+  /// Mean number of tokens of prompts and answers, before any were seen.
   double mean_prompt_tokens = 0;
   double mean_answer_tokens = 0;
-  /// How old the state in a server's report may be.
+  /// Maximum age of the state in a server's report.
   absl::Duration report_lag;
-  /// Loads from the weight store that may start a second, and run at once
-  /// before they slow each other.
+  /// Loads from the weight store that may start per second, and that may run at
+  /// once before they slow each other down.
   double loads_per_s = 1;
   int loads_at_once = 1;
-  /// Models whose weights one host keeps.
+  /// Number of models whose weights one host keeps.
   int staged_models = 1;
   /// Time from an open order until the group serves.
   absl::Duration open_time;
@@ -63,27 +64,27 @@
   bool operator==(const engine_profile&) const = default;
 };
 
-/// A kind of backend servers.
+/// A type of backend servers.
 struct backend_service {
   std::string name;
-  /// Connections that one server takes from all callers together.
+  /// Connections that one server accepts from all nodes together.
   int max_connections = 0;
-  /// Requests a second that one server bears while it is slow after a start;
-  /// 0 if it is never slow.
+  /// Requests per second that one server can handle while it is slow after a
+  /// start; 0 if it is never slow.
   double cold_requests_per_s = 0;
   /// Set for services of model engines.
   std::optional<engine_profile> engine;
   bool operator==(const backend_service&) const = default;
 };
 
-/// A service that takes part of a route's requests.
+/// A service that receives a part of a route's requests.
 struct route_target {
   std::string service;
   int weight = 1;
   bool operator==(const route_target&) const = default;
 };
 
-/// How requests of one host name and path prefix are handled.
+/// How requests with one host name and path prefix are handled.
 struct route_rule {
   std::string name;
   std::string host;
@@ -91,26 +92,26 @@
   std::vector<route_target> targets;
   /// Whether a request may run more than once.
   bool repeatable = false;
-  /// Whether answers are streams of events.
+  /// Whether answers are event streams.
   bool streaming = false;
-  /// Whether another server can go on with a broken stream.
+  /// Whether another server can resume a broken stream.
   bool resumable = false;
   /// Whether requests need no key.
   bool public_access = false;
-  /// Backend servers that one request may be sent to.
+  /// Maximum number of backend servers that one request is sent to.
   int attempts = 1;
   /// 0 is the most urgent.
   int priority = 0;
   /// Longest time that a request is held.
   absl::Duration timeout = absl::Seconds(60);
-  /// An answer (of a stream: its first event) within this is in time.
+  /// An answer (of a stream: its first event) within this time is in time.
   absl::Duration goal = absl::Seconds(1);
-  /// Longest pause between two events of a stream that is in time.
+  /// Longest gap between two events of a stream that is in time.
   absl::Duration event_gap_goal = absl::Seconds(1);
   bool operator==(const route_rule&) const = default;
 };
 
-/// A customer, known by its keys.
+/// A customer, identified by its keys.
 struct api_workspace {
   std::string name;
   std::vector<std::string> keys;
@@ -118,18 +119,18 @@
   bool operator==(const api_workspace&) const = default;
 };
 
-/// Bounds on what callers may send, and how long they may take.
+/// Limits on the size and duration of callers' requests.
 struct caller_limits {
   uint32_t head_bytes = 16 << 10;
   uint64_t body_bytes = 4 << 20;
   /// Longest time from the first byte of a request to the end of its head.
   absl::Duration head_timeout = absl::Seconds(3);
-  /// Longest time that a connection rests between requests.
+  /// Longest time that a connection is idle between requests.
   absl::Duration idle_timeout = absl::Seconds(15);
   bool operator==(const caller_limits&) const = default;
 };
 
-/// One accepted configuration of routes, as a whole.
+/// One accepted configuration, as a whole.
 struct routing_config {
   int64_t version = 0;
   std::vector<route_rule> routes;
@@ -139,15 +140,15 @@
   bool operator==(const routing_config&) const = default;
 };
 
-/// Look-ups in a configuration, which it keeps. Immutable.
+/// Index of a configuration, which it owns. Immutable.
 class routing_table {
  public:
   explicit routing_table(routing_config config);
 
   const routing_config& config() const { return this->content; }
 
-  /// The route of `host` whose prefix begins `path` and is longest; null if
-  /// there is none. The host is compared without case and port.
+  /// The route of `host` with the longest prefix of `path`; null if there is
+  /// none. Case and port of the host are ignored.
   const route_rule* find_route(std::string_view host,
                                std::string_view path) const;
 
@@ -164,11 +165,11 @@
   absl::flat_hash_map<std::string, const backend_service*> by_service;
 };
 
-/// A model of an engine service; null if it does not run it.
+/// A model of an engine service; null if the service does not run it.
 const model_profile* find_model(const engine_profile& engine,
                                 std::string_view name);
 
-/// Hosts that one group needs, by the name of its model.
+/// Number of hosts that one group needs, by model name.
 std::map<std::string, int> group_sizes(const engine_profile& engine);
 
 }  // namespace spokesail
--- a/include/spokesail/routing.h
+++ b/include/spokesail/routing.h
@@ -1,4 +1,4 @@
-// Chooses the serving group or the service host that takes a request.
+// Chooses the serving group or service host that receives a request.
 #pragma once
 
 #include <cstdint>
@@ -10,16 +10,16 @@
 
 namespace spokesail {
 
-/// One place that a request may go to.
+/// A candidate for a request.
 struct route_option {
   std::string name;
   /// Requests that this node has running there.
   int in_flight = 0;
-  /// Requests there in all, as last reported, with a lag.
+  /// All requests there, as last reported, with a lag.
   int reported = 0;
-  /// Requests that the place runs at once.
+  /// Requests that it runs at once.
   int capacity = 1;
-  /// How much of the capacity this node may use without asking the report.
+  /// Part of the capacity that this node may use regardless of the report.
   int share = 1;
   bool operator==(const route_option&) const = default;
 };
@@ -27,9 +27,9 @@
 /// Whether this node may send one more request there.
 bool has_room(const route_option& option);
 
-/// Chooses among `options`. Requests with the same prefix go to the same
-/// place as long as its load stays near the mean; the others go to the less
-/// loaded of two drawn at random. Nothing if no option has room.
+/// Chooses among `options`. Requests with the same prefix go to the same option
+/// while its load stays near the mean; other requests go to the less loaded of
+/// two drawn at random. Returns nothing if all options are full.
 std::optional<size_t> choose_route(const std::vector<route_option>& options,
                                    std::optional<uint64_t> prefix,
                                    random_stream& random);
--- a/src/admission.cc
+++ b/src/admission.cc
@@ -5,7 +5,8 @@
 namespace spokesail {
 namespace {
 
-/// Callers of a workspace that are remembered without a request waiting.
+/// Maximum number of callers of a workspace that are kept without a waiting
+/// request.
 constexpr size_t most_callers = 256;
 
 }  // namespace
@@ -69,7 +70,7 @@
                         double cost) {
   auto& line = this->lines[workspace];
   join(line, caller);
-  // It may have been among those that were just forgotten.
+  // The caller may have been among those just dropped.
   double& tag = line.callers[caller];
   tag = std::max(tag, line.caller_time) + cost;
 }
@@ -141,8 +142,8 @@
 }
 
 void fair_queue::advance(double served) {
-  // A request that went first for another reason than its workspace's share
-  // does not take the others' shares along.
+  // A request that went first for a reason other than its workspace's share
+  // must not advance the virtual time past the other workspaces.
   double least = served;
   for (const auto& [workspace, line] : this->lines) {
     if (!line.waiting.empty()) least = std::min(least, line.start_tag);
--- a/src/backoff.cc
+++ b/src/backoff.cc
@@ -1,4 +1,4 @@
-// Growing pauses.
+// Exponential backoff with jitter.
 #include "spokesail/backoff.h"
 
 #include <algorithm>
@@ -6,7 +6,7 @@
 namespace spokesail {
 namespace {
 
-/// Least share of a pause, and what chance may add to it.
+/// Smallest factor on a delay, and the width of the random part added to it.
 constexpr double least_share = 0.75;
 constexpr double drawn_share = 0.5;
 
--- a/src/byte-budget.cc
+++ b/src/byte-budget.cc
@@ -1,10 +1,10 @@
-// When a node that holds much for its callers takes no more.
+// Bounds the memory that a node holds for its callers.
 #include "spokesail/byte-budget.h"
 
 namespace spokesail {
 namespace {
 
-/// Part of the budget up to which requests are taken.
+/// Fraction of the budget up to which new requests are accepted.
 constexpr double request_share = 0.6;
 
 }  // namespace
--- a/src/call.cc
+++ b/src/call.cc
@@ -10,10 +10,10 @@
 /// Largest plain answer that is held, in bytes.
 constexpr size_t largest_plain = 16 << 20;
 
-/// Unread bytes of a stream beyond which the attempt waits for the caller.
+/// Number of unsent stream bytes beyond which the attempt waits for the caller.
 constexpr size_t outgoing_limit = 256 << 10;
 
-/// A caller that reads nothing for this long is given up.
+/// A caller that reads nothing for this long is abandoned.
 constexpr absl::Duration slow_caller_limit = absl::Seconds(20);
 
 constexpr char end_of_stream[] = "[DONE]";
@@ -36,7 +36,7 @@
   absl::MutexLock lock(&this->mutex);
   if (attempt != this->current || this->end) return false;
   const bool stream = head.content_type.rfind("text/event-stream", 0) == 0;
-  // A stream that has begun goes on as a stream or not at all.
+  // An answer that began as a stream cannot continue as a plain one.
   if (this->partial.tokens > 0 && !stream) return false;
   this->received_head = head;
   this->event_stream = stream;
--- a/src/call.h
+++ b/src/call.h
@@ -15,21 +15,21 @@
 
 namespace spokesail {
 
-/// The text of a model's answer that has come so far.
+/// The part of a model's answer received so far.
 struct partial_response {
   std::string text;
   int64_t tokens = 0;
 };
 
-/// A request between its arrival and the last byte to its caller.
+/// A request from its arrival until the last byte is sent to its caller.
 ///
-/// Only the attempt that is current may write; what a given-up attempt still
-/// brings is dropped. A model's tokens are counted, so that a later attempt
-/// resumes without a doubled or missing one.
+/// Only the current attempt may write; data from an abandoned attempt is
+/// dropped. A model's tokens are counted, so that a later attempt resumes
+/// without repeating or skipping one.
 class call {
  public:
   uint64_t id = 0;
-  /// The request as it came.
+  /// The request as received.
   std::string method;
   std::string path;
   std::multimap<std::string, std::string> headers;
@@ -40,45 +40,49 @@
   std::string model;
   absl::Time arrived;
 
-  /// The caller has this much of the answer already, from elsewhere.
+  /// Sets the part of the answer that the caller already has from an earlier
+  /// request.
   void resume_from(const partial_response& had);
 
   /// Makes `attempt` the current one.
   void begin(const std::string& attempt);
 
-  /// The attempt's answer has begun. False if it is not current.
+  /// Stores the head of the attempt's answer. Returns false if the attempt is
+  /// not current.
   bool head(const std::string& attempt, const exchange_head& head);
 
-  /// More of a plain answer. False if not current or too large.
+  /// Appends to a plain answer. Returns false if the attempt is not current or
+  /// the answer is too large.
   bool append_plain(const std::string& attempt, const char* data, size_t size);
 
-  /// One event of a model's stream. False if not current or out of order.
+  /// Appends one event of a model's stream. Returns false if the attempt is not
+  /// current or the event is out of order.
   bool append_event(const std::string& attempt, const std::string& data);
 
-  /// Whether the model's answer came to its end mark or is no stream at all.
+  /// Whether the model's answer has reached its end mark, or is no stream.
   bool complete(const std::string& attempt) const;
 
-  /// The request's end.
+  /// Ends the request.
   void finish(const outcome& result);
 
-  /// What has come of the model's answer.
+  /// The part of the model's answer received so far.
   partial_response received_so_far() const;
 
-  /// Waits until there is something to send first: bytes of a stream, or the
-  /// end. Gives the end, if it came.
+  /// Waits until there are stream bytes to send or the request has ended.
+  /// Returns the outcome if it ended with nothing to send.
   std::optional<outcome> wait_for_output();
 
-  /// Takes bytes for the caller; waits for them up to `limit`. Empty if none
-  /// came. `ended` tells whether the request has ended.
+  /// Returns the bytes to send to the caller, waiting for them up to `limit`.
+  /// Empty if none came. Sets `ended` to whether the request has ended.
   std::string take(absl::Duration limit, bool& ended);
 
   std::optional<outcome> result() const;
   exchange_head answer_head() const;
   /// The whole of a plain answer.
   std::string plain_body() const;
-  /// What ended a model's answer, such as "stop".
+  /// The finish reason of a model's answer, such as "stop".
   std::string finish_reason() const;
-  /// Whether a byte of the answer has come.
+  /// Whether any event of the answer was received.
   bool begun() const;
 
  private:
--- a/src/engine-model.cc
+++ b/src/engine-model.cc
@@ -1,4 +1,4 @@
-// Predictions from an engine's figures, and the choice by them.
+// Predictions from an engine's figures, and the choice based on them.
 #include "spokesail/engine-model.h"
 
 #include <algorithm>
@@ -7,22 +7,22 @@
 namespace spokesail {
 namespace {
 
-/// Mean context of a running request against its prompt and answer together.
+/// Mean context of a running request, as a fraction of its prompt plus answer.
 constexpr double mean_context_share = 0.75;
 
-/// Predictions this close (in ms) count as alike: what is known of the other
-/// entry hosts' requests lags.
+/// Predictions that differ by less than this, in ms, count as equal: the known
+/// load of the other entry hosts lags.
 constexpr double alike_ms = 10;
 
-/// Passes until a first event, beside the reading of the prompt: half of the
-/// one that runs when the request comes, and the one that writes the event.
+/// Passes until a first event, in addition to reading the prompt: half of the
+/// pass running when the request arrives, and the one that writes the event.
 constexpr double passes_to_first_event = 1.5;
 
-/// What the time between events counts as against the time to the first one,
-/// for each event of the answer.
+/// Weight of the time between events against the time to the first one, for
+/// each event of the answer.
 constexpr double gap_weight = 0.1;
 
-/// The requests of a service, before any are seen.
+/// Mean size of a service's requests, before any were seen.
 request_size usual_size(const engine_profile& engine) {
   return {engine.mean_prompt_tokens, engine.mean_answer_tokens};
 }
@@ -65,7 +65,7 @@
   for (const auto& option : options) {
     double cost = std::numeric_limits<double>::infinity();
     if (option.running < engine.slots) {
-      // The prompt is read while the others there wait.
+      // The prompt is read while the other requests there wait.
       const double events =
           size.answer / std::max(1, engine.decode_steps_per_pass);
       cost =
--- a/src/event-splitter.cc
+++ b/src/event-splitter.cc
@@ -1,4 +1,4 @@
-// Finds the ends of events and their ids.
+// Finds the ends and ids of server-sent events.
 #include "event-splitter.h"
 
 #include <absl/strings/match.h>
@@ -9,7 +9,7 @@
 namespace spokesail {
 namespace {
 
-/// The offset after the first empty line from `from` on; npos if none is there.
+/// The offset after the first empty line from `from` on; npos if there is none.
 size_t event_end(absl::string_view text, size_t from) {
   for (size_t at = text.find('\n', from); at != absl::string_view::npos;
        at = text.find('\n', at + 1)) {
@@ -20,7 +20,7 @@
   return absl::string_view::npos;
 }
 
-/// The id that an event bears; -1 if none, or one that is no number.
+/// The id of an event; -1 if it has none or it is not a number.
 int64_t event_id(absl::string_view event) {
   int64_t id = -1;
   for (absl::string_view line : absl::StrSplit(event, '\n')) {
--- a/src/event-splitter.h
+++ b/src/event-splitter.h
@@ -1,4 +1,4 @@
-// Splits a stream of server-sent events at event ends, bytes untouched.
+// Splits a stream of server-sent events into whole events, bytes unchanged.
 #pragma once
 
 #include <cstdint>
@@ -8,9 +8,9 @@
 
 namespace spokesail {
 
-/// Whole events that came together.
+/// The whole events found in one read.
 struct event_batch {
-  /// The events' bytes as they came, ends included.
+  /// The events' bytes as received, line ends included.
   std::string bytes;
   int events = 0;
   /// Id of the last of them; -1 if none has an id.
@@ -18,18 +18,18 @@
   bool operator==(const event_batch&) const = default;
 };
 
-/// Holds back the part of a stream that is not yet a whole event, so that
-/// another server can go on after the last whole one.
+/// Holds back the incomplete last event of a stream, so that another server can
+/// resume after the last whole one.
 class event_splitter {
  public:
   /// Largest event that is held back, in bytes.
   static constexpr size_t largest_event = 1 << 20;
 
-  /// Takes bytes and gives the events that are whole by now. Nothing if an
-  /// event is too large.
+  /// Adds bytes and returns the events that are now complete. Returns nothing
+  /// if an event is too large.
   std::optional<event_batch> feed(std::string_view bytes);
 
-  /// Bytes of the event that is not whole.
+  /// Bytes of the incomplete event.
   const std::string& rest() const { return this->pending; }
 
  private:
--- a/src/exchange.cc
+++ b/src/exchange.cc
@@ -1,4 +1,4 @@
-// The steps of one exchange with a backend server.
+// The steps of an attempt: connecting, sending, reading the response.
 #include "exchange.h"
 
 #include <algorithm>
@@ -14,19 +14,19 @@
 namespace http = boost::beast::http;
 using detail::use_tuple;
 
-/// Largest head of an answer, in bytes.
+/// Largest response head, in bytes.
 constexpr uint32_t largest_head = 64 << 10;
 
-/// A kept connection is not used in the last part of the time that its server
-/// keeps it, since the server's close may be on its way.
+/// A kept connection is not used in this last part of the server's keep-alive
+/// time, since the server may be closing it already.
 constexpr absl::Duration keep_margin = absl::Milliseconds(700);
 
-/// How long a connection is kept if the server does not say.
+/// How long a connection is kept if the server gives no keep-alive time.
 constexpr absl::Duration default_keep = absl::Seconds(2);
 
-/// A connection is up in a few round trips; one that is not by then goes to a
-/// server that is down or has a full queue of connections. Early enough for
-/// another server to answer in time.
+/// A connection takes a few round trips. If it takes longer than this, the
+/// server is down or its accept queue is full. Short enough for another server
+/// to respond in time.
 constexpr absl::Duration connect_limit = absl::Milliseconds(80);
 
 }  // namespace
--- a/src/exchange.h
+++ b/src/exchange.h
@@ -1,4 +1,4 @@
-// One sending of a request to one backend server.
+// One attempt of a request at one backend server.
 #pragma once
 
 #include <absl/time/time.h>
@@ -16,39 +16,39 @@
 
 namespace spokesail {
 
-/// From this status on the server, not the caller, is at fault.
+/// Lowest status that reports a fault of the server rather than of the caller.
 constexpr unsigned first_server_error = 500;
 
-/// Where a request can be sent.
+/// An endpoint that a request can be sent to.
 struct endpoint_target {
-  /// The server that takes it: a group's head or a plain service's server.
+  /// Id of the server that receives it: a group's head or a plain server.
   std::string server;
   std::string address;
-  /// The group; empty for plain services.
+  /// Name of the group; empty for plain services.
   std::string group;
   int64_t epoch = 0;
-  /// Members of the group, to ask when it falls silent.
+  /// Members of the group, which are probed when its streams stall.
   std::vector<std::string> members;
-  /// Start of the server, by its entry; 0 if it is not known.
+  /// Identifies the start of the server, from its entry; 0 if unknown.
   int64_t incarnation = 0;
-  /// Until when a request may be sent to it; finite if it needs a grant or a
-  /// slot of the server's limit.
+  /// Until when a request may be sent; finite if it needs a grant or a slot of
+  /// the server's limit.
   absl::Time send_by = absl::InfiniteFuture();
 
-  /// What its load is counted under.
+  /// Key under which its load is counted.
   const std::string& load_key() const {
     return this->group.empty() ? this->server : this->group;
   }
 };
 
-/// Why an exchange was broken off from this side.
+/// Why this node aborted an exchange.
 enum class abort_cause { none, caller_gone, time_up, stalled };
 
-/// A cause's name, for logs.
+/// Name of a cause, for logs.
 const char* abort_cause_name(abort_cause cause);
 
-/// A connection to a backend server while it serves one request. Another part
-/// of the node may break it off; what waits on it then ends with an error.
+/// A connection to a backend server while it serves one request. Other parts of
+/// the node may abort it; pending operations then end with an error.
 class exchange {
  public:
   exchange(node_context& node, endpoint_target endpoint, double prompt_tokens);
@@ -56,33 +56,36 @@
   exchange(const exchange&) = delete;
   exchange& operator=(const exchange&) = delete;
 
-  /// Connects, or takes a kept connection if `reuse` is set. Empty on success,
-  /// otherwise the error.
+  /// Connects, or takes a kept connection if `reuse` is set. Returns an empty
+  /// string on success, otherwise the error.
   boost::asio::awaitable<std::string> connect(bool reuse);
 
-  /// Sends the request. Empty on success, otherwise the error.
+  /// Sends the request. Returns an empty string on success, otherwise the
+  /// error.
   boost::asio::awaitable<std::string> send(http_request& request);
 
-  /// Reads the answer's head. Empty on success, otherwise the error.
+  /// Reads the response head. Returns an empty string on success, otherwise the
+  /// error.
   boost::asio::awaitable<std::string> read_head(bool no_body);
 
-  /// Reads some of the body into `out`. Empty on success, otherwise the error.
+  /// Appends a part of the body to `out`. Returns an empty string on success,
+  /// otherwise the error.
   boost::asio::awaitable<std::string> read_some(std::string& out);
 
-  /// The answer's head, once it is read.
+  /// The response head, once it was read.
   const boost::beast::http::response_header<>& head() const {
     return this->parser->get().base();
   }
   /// Whether the whole body has been read.
   bool body_done() const { return this->parser->is_done(); }
 
-  /// Keeps the connection for another request, if it may serve one.
+  /// Returns the connection to the pool if it can serve another request.
   void keep(const answer_head& answer);
 
-  /// Breaks the exchange off.
+  /// Aborts the exchange; the first cause is kept.
   void abort(abort_cause cause);
 
-  /// Takes note of an event of a stream.
+  /// Records an event of a stream.
   void record_event();
 
   node_context& node;
@@ -90,36 +93,36 @@
   const double prompt_tokens;
   /// Whether it uses a connection that has served another request.
   bool reused = false;
-  /// Why it was broken off; none if it was not.
+  /// Why it was aborted; none if it was not.
   abort_cause aborted = abort_cause::none;
-  /// Whether servers had ended under the request before it was sent here.
+  /// Whether earlier attempts of the request had lost their servers.
   bool after_server_loss = false;
-  /// Whether the head of an answer came.
+  /// Whether a response head was received.
   bool head_received = false;
-  /// Whether its server ended it before its time, by a break or by silence.
+  /// Whether its server ended it prematurely, by a break or by silence.
   bool lost = false;
-  /// A member of its group that did not answer; empty if none was found.
+  /// A member of its group that did not respond; empty if none was found.
   std::string unresponsive_member;
-  /// When it is broken off, whatever it waits for.
+  /// When it is aborted regardless of its state.
   absl::Time limit = absl::InfiniteFuture();
-  /// Whether it is the caller that is waited for.
+  /// Whether it waits for the caller rather than for the server.
   bool waiting_for_caller = false;
-  /// Whether the caller took none of the answer for a while just before.
+  /// Whether the caller has just read nothing for a while.
   bool caller_not_reading = false;
-  /// Whether a stream's events are coming.
+  /// Whether the first event of a stream has come.
   bool events_started = false;
-  /// When it began to send the request.
+  /// When sending the request began.
   absl::Time sent_at = absl::InfiniteFuture();
   /// When the last event of a stream came.
   absl::Time last_event = absl::InfinitePast();
-  /// What an answer (of a stream: its first event) should take, in ms; 0 if
-  /// nothing tells.
+  /// Expected time of a response (of a stream: its first event), in ms; 0 if
+  /// unknown.
   double expected_ms = 0;
   /// When the first event is overdue.
   absl::Time first_event_deadline = absl::InfiniteFuture();
 
  private:
-  /// Bytes that one read takes at most: some events of a stream.
+  /// Maximum size of one read: a few events of a stream.
   static constexpr size_t read_size = 16 << 10;
 
   boost::asio::ip::tcp::socket socket;
@@ -127,7 +130,7 @@
   std::optional<
       boost::beast::http::response_parser<boost::beast::http::buffer_body>>
       parser;
-  /// Where a read of the body puts its bytes.
+  /// Buffer for reads of the body.
   std::array<char, read_size> chunk;
 };
 
--- a/src/load-table.cc
+++ b/src/load-table.cc
@@ -1,4 +1,4 @@
-// Sums of requests in flight.
+// Maintains the sums of requests in flight.
 #include "spokesail/load-table.h"
 
 #include <algorithm>
@@ -42,7 +42,7 @@
 void load_table::update_peer(const std::string& peer,
                              std::vector<endpoint_load> loads, absl::Time now,
                              bool far) {
-  // A place without a request has nothing unread either.
+  // An endpoint without requests has no unread prompts either.
   std::erase_if(loads, [](const auto& load) { return load.running <= 0; });
   this->remove_peer(peer);
   peer_load& entry = this->peers[peer];
--- a/src/prediction-error.cc
+++ b/src/prediction-error.cc
@@ -1,4 +1,4 @@
-// The learned error of predicted first events.
+// The learned error of predicted first-event times.
 #include "spokesail/prediction-error.h"
 
 #include <algorithm>
--- a/src/request-admission.cc
+++ b/src/request-admission.cc
@@ -1,4 +1,5 @@
-// Verdicts on requests from the predictions for the groups that they may use.
+// Admission decisions, based on the predicted times of the groups that a
+// request may use.
 #include "spokesail/request-admission.h"
 
 #include <algorithm>
@@ -11,51 +12,57 @@
 
 constexpr double no_end = std::numeric_limits<double>::infinity();
 
-/// Ranks of requests, 0 first.
+/// Lowest rank of requests; 0 is the highest.
 constexpr int lowest_rank = 9;
 
-/// Time over which events are counted.
+/// Time constant of the exponentially weighted event rates.
 constexpr absl::Duration rate_memory = absl::Seconds(1);
 
-/// Each so many turns, one goes to who has waited for most of them.
+/// Every so many turns, one goes to the kind and workspace that has waited
+/// longest, so that low ranks do not starve.
 constexpr int starvation_guard_interval = 5;
 
-/// What a late answer is worth against one in time.
+/// Value of a late answer relative to one in time.
 constexpr double late_worth = 0.25;
 
-/// First events come this part of the goal earlier or later than expected.
+/// Half-width of the distribution of first events around their prediction,
+/// relative to the mean goal.
 constexpr double spread_share = 0.2;
 
-/// Weight of one request in the usual goal.
+/// Weight of one request in the moving average of the goal.
 constexpr double goal_weight = 0.125;
 
-/// The part of its time left beyond which a caller does not wait to come back.
+/// Largest retry delay, as a fraction of the caller's remaining time. Callers
+/// do not wait for longer delays.
 constexpr double heeded_share = 1.0 / 3;
 
-/// A caller that comes back this much earlier than told has kept the time.
+/// Tolerance for callers that return earlier than told.
 constexpr absl::Duration return_slack = absl::Milliseconds(20);
 
-/// Refused callers that are remembered.
+/// Maximum number of refused callers that are remembered.
 constexpr size_t most_returns = 1024;
 
-/// Room is ample if it is this many times what others may take meanwhile.
+/// Free slots are ample if they exceed by this factor what other nodes may have
+/// taken since the load was reported.
 constexpr double ample_room = 4;
 
-/// The part of known places that all nodes together take until they hear of
-/// each other's requests; what was taken just before is not known either.
+/// Fraction of the known free slots that all nodes together may take until they
+/// learn of each other's requests. The rest covers slots taken just before,
+/// which are not known either.
 constexpr double taken_share = 0.5;
 
-/// Part of its reading that a group keeps for what has queued up, at least.
+/// Minimum fraction of a group's prefill capacity that is taken to be left for
+/// working off its queue.
 constexpr double least_spare = 0.05;
 
 double millis(absl::Duration time) { return absl::ToDoubleMilliseconds(time); }
 
-/// Time that a group reads a prompt, in ms.
+/// Time in which a group reads a prompt, in ms.
 double read_ms(const admission_view& view, double prompt) {
   return view.model.pace * prompt / view.engine.prefill_tokens_per_ms;
 }
 
-/// Time that a request with this many others holds a place, in ms.
+/// Time that a request occupies a slot beside this many others, in ms.
 double service_ms(const admission_view& view, const request_size& size,
                   int running) {
   group_option full;
@@ -66,15 +73,15 @@
          events * predict_event_gap_ms(view.engine, view.model, full, 0);
 }
 
-/// An option with one more request in it.
+/// The option after one more request has joined it.
 group_option joined(group_option option, double prompt) {
   option.running++;
   option.pending_prefill_tokens += prompt;
   return option;
 }
 
-/// Requests that can join `option` one after the other and have their first
-/// event within `left_ms`.
+/// Number of requests that can join `option` one after the other and have their
+/// first event within `left_ms`.
 double slots_in_time(const admission_view& view, const group_option& option,
                      double prompt, double left_ms) {
   const int free = view.engine.slots - option.running;
@@ -90,7 +97,7 @@
 
 }  // namespace
 
-/// How likely a first event that is expected after `first_ms` comes within
+/// Probability that a first event predicted after `first_ms` comes within
 /// `left_ms`.
 static double chance_in_time(double first_ms, double left_ms,
                              double mean_goal_ms) {
@@ -98,9 +105,9 @@
   return std::clamp(0.5 + (left_ms - first_ms) / (2 * spread), 0.0, 1.0);
 }
 
-/// Requests that would be in time without a request that joins `option`, and
-/// not with it: of those that come until the group has caught up, by how much
-/// later each is.
+/// Expected number of requests that become late because this one joins
+/// `option`: those that arrive until the group has caught up, each delayed by
+/// this request's prompt.
 static double requests_made_late(const admission_request& request,
                                  const admission_view& view,
                                  const group_option& option, double error_ms,
@@ -128,23 +135,23 @@
              std::max(1, engine.slots);
 }
 
-/// What a request can expect of its options.
+/// The predicted chances of a request over all its options.
 struct request_admission::forecast {
-  /// Requests like it that can be in time, by option and in all.
+  /// Slots in which requests like this one are in time, by option and in total.
   std::vector<double> places;
   double timely_slots = 0;
-  /// Places of the options that are free, in time or not.
+  /// Free slots of all options, in time or not.
   double free = 0;
-  /// Least predicted time, error included, over options with a free place.
+  /// Shortest predicted time, error included, over options with a free slot.
   double best_ms = no_end;
-  /// Time until a place of an option that is full comes free.
+  /// Time until a slot of a full option becomes free.
   double freed_ms = no_end;
-  /// Least time to the first event over such options, waiting included.
+  /// Shortest time to the first event over full options, waiting included.
   double full_ms = no_end;
   double error_ms = 0;
-  /// Time left to be in time.
+  /// Time left until the request is late.
   double left_ms = 0;
-  /// Requests that all nodes send to one group in a ms.
+  /// Requests per ms that all nodes send to one group.
   double group_rate = 0;
 };
 
@@ -198,7 +205,7 @@
                                           absl::Time now) {
   const auto told = this->retry_times.find(request.caller);
   if (told == this->retry_times.end()) return;
-  // Who does not wait as told pays for it out of its own turns.
+  // A caller that returns early is charged for it in its own turns.
   if (now + return_slack < told->second) {
     this->pools[request.pool].queue.charge(request.workspace, request.caller,
                                            request.cost_ms);
@@ -257,13 +264,13 @@
                                     pool_state& pool, absl::Time now,
                                     random_stream& random) {
   if (now < pool.next_draw) return false;
-  // Others decide by the same news at the same moment, so that each takes its
-  // part of the places rather than all the same one.
+  // Other nodes decide on the same reported load at the same moment, so each
+  // takes a random share of the free slots rather than all the same one.
   pool.draw_rate.add(now);
   const double weighed = static_cast<double>(view.options.size()) /
                          static_cast<double>(std::max<size_t>(view.groups, 1));
-  // Where room is so short that this node has just missed a place, the other
-  // nodes have requests waiting too.
+  // If slots are so scarce that this node has just missed one, the other nodes
+  // have requests waiting too.
   const bool missed = now - pool.next_draw < view.load_age;
   const double each =
       pool.draw_rate.at(now) * absl::ToDoubleSeconds(view.load_age);
@@ -346,7 +353,7 @@
   const double busy = std::min(seen.group_rate * usual, 1 - least_spare);
   const double drained = std::max(0.0, seen.best_ms - goal) / (1 - busy);
   const double expected = std::min(drained, seen.freed_ms);
-  // Places come free for all nodes together at this pace.
+  // Interval at which slots become free over all nodes together.
   const double held =
       service_ms(view, request.size, view.engine.slots) / view.engine.slots;
   const double interval = view.nodes * std::max(usual, held) /
@@ -359,8 +366,8 @@
       std::min(absl::Milliseconds(interval), heeded / 2);
   const absl::Time turn = std::max(now + place, pool.next_retry_at);
   absl::Duration wait = turn - now + random.unit() * spacing;
-  // Beyond what is heeded there is no order left to keep, but they still
-  // should not meet.
+  // Beyond the largest delay the order cannot be kept, but returning callers
+  // must still not coincide.
   if (wait > heeded) wait = heeded - random.unit() * spacing;
   pool.next_retry_at = std::min(turn + spacing, now + heeded);
   answer.action = admission_action::refuse;
@@ -408,7 +415,7 @@
     return out;
   }
   out = decide_late(request, view, pool, seen, now);
-  // Whoever is in time goes before it where places are short.
+  // Requests that can be in time take precedence where slots are scarce.
   if (out.action == admission_action::send &&
       claim_share(seen, view, pool, now, random)) {
     this->dequeue(request);
--- a/src/request-admit.cc
+++ b/src/request-admit.cc
@@ -1,5 +1,5 @@
-// Whether a request may be sent now: by the grants that cold and rate-limited
-// servers need, and by admission where room is short.
+// Decides whether a request may be sent now: by the grants that cold and
+// rate-limited servers need, and by admission when capacity is short.
 #include <absl/strings/str_cat.h>
 
 #include <algorithm>
@@ -13,11 +13,11 @@
 
 namespace net = boost::asio;
 
-/// How often a request that waits for its turn looks whether it has come.
+/// Interval at which a waiting request asks for its turn.
 constexpr absl::Duration turn_step = absl::Milliseconds(5);
 
-/// Age of what a node knows of its hall's requests, at most: the time between
-/// two messages of a node that sends, and their way.
+/// Largest age of what a node knows of its data hall's requests: the interval
+/// between two messages of a sending node plus their transit time.
 constexpr absl::Duration hall_news_age = absl::Milliseconds(100);
 
 }  // namespace
@@ -71,12 +71,12 @@
   if (limit) {
     this->skipped_per_s += bucket_for_limit(*limit->per_s).per_s;
     if (this->sends == 0) {
-      // The log line of a refused request reports the last limit passed over.
+      // The log line of a refused request reports the last limit skipped.
       this->chosen.endpoint = head;
       this->chosen.limit = limit;
     }
   }
-  // Reservoir sampling: each server passed over is chosen with equal
+  // Reservoir sampling: each server skipped is chosen with equal
   // probability.
   const auto passed = static_cast<uint64_t>(++this->ungranted_count);
   if (this->node.random.below(passed) == 0) this->ungranted_server = head;
--- a/src/request-answer.cc
+++ b/src/request-answer.cc
@@ -1,4 +1,4 @@
-// Passes a backend server's answer on to the caller.
+// Relays a backend server's response to the caller.
 #include <absl/strings/str_cat.h>
 
 #include <algorithm>
@@ -19,16 +19,16 @@
 namespace net = boost::asio;
 namespace http = boost::beast::http;
 
-/// Largest plain answer that is held in memory, in bytes.
+/// Largest plain response that is held in memory, in bytes.
 constexpr size_t largest_whole_answer = 16 << 20;
 
-/// How often an answer that there is no memory for is looked at again.
+/// Interval at which a response that lacks memory checks for it again.
 constexpr absl::Duration memory_step = absl::Milliseconds(20);
 
-/// A server may cut off an answer that nobody has read for some seconds.
+/// A server may break off a response that was not read for some seconds.
 constexpr absl::Duration unread_time = absl::Seconds(1);
 
-/// Appends buffers, such as a chunk with its frame, to `out`.
+/// Appends buffers, such as a chunk with its framing, to `out`.
 template <typename Buffers>
 void append_buffers(std::string& out, const Buffers& buffers) {
   for (const net::const_buffer part :
@@ -73,14 +73,15 @@
     held.set(body.size());
     if (!error.empty() || body.size() > largest_whole_answer) {
       ex.lost = !error.empty();
-      this->log_attempt(ex, "broken", error.empty() ? "too large" : error);
+      this->log_attempt(ex, "broken",
+                        error.empty() ? "response is too large" : error);
       co_return attempt_result::broken;
     }
   }
   const unsigned status = ex.head().result_int();
   const std::string status_text = absl::StrCat("status ", status);
   if (this->head_sent) {
-    // Another server was to go on with a stream, and answered otherwise.
+    // Another server was to resume a stream, but sent a plain response.
     this->log_attempt(ex, "broken", status_text);
     co_return attempt_result::broken;
   }
@@ -187,7 +188,7 @@
     }
   }
   if (!error.empty() || ex.aborted != abort_cause::none) {
-    // What its caller left unread is no fault of the server's.
+    // A server is not at fault for what its caller left unread.
     ex.lost = !ex.caller_not_reading;
     this->log_attempt(ex, ex.caller_not_reading ? "unread" : "broken", error);
     co_return attempt_result::broken;
--- a/src/request-crash.cc
+++ b/src/request-crash.cc
@@ -1,4 +1,4 @@
-// What a request's runs tell of whether it crashes servers.
+// Records whether a request crashes the servers that run it.
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
 
@@ -12,10 +12,12 @@
 namespace net = boost::asio;
 namespace http = boost::beast::http;
 
-/// A kept connection to a server that is gone is reset within a round trip:
-/// under 10 ms between data halls. A server that ended by itself would else
-/// count against each request that was sent there before its end was known: on
-/// a day whose hosts all stopped, such a request was held to be guilty.
+/// A kept connection to a server that is gone is reset within a round trip,
+/// under 10 ms between data halls. Attempts on reused connections that fail
+/// sooner than this limit do not count as run: a server that ended for another
+/// reason would otherwise count against each request sent to it before its end
+/// was known. On a day on which all hosts stopped, an innocent request was
+/// quarantined for this reason.
 constexpr absl::Duration dead_connection_limit = absl::Milliseconds(20);
 
 }  // namespace
@@ -34,7 +36,7 @@
 }
 
 bool request_handler::quarantined() {
-  // Read from the whole content only while anything is held against anybody.
+  // Hashing the whole content is avoided unless some request is suspected.
   return !this->node.crashes.empty() &&
          this->node.crashes.quarantined(this->identity());
 }
@@ -74,8 +76,8 @@
                 {this->last_event, ex.head_received, ex.after_server_loss},
                 ex.unresponsive_member};
   auto check = check_crash(this->node, std::move(lost));
-  // Whether to send a request on that may be the cause hangs on the answer. The
-  // second chance of others is not held up by it.
+  // A suspected request may be retried only if the check clears it. The retries
+  // of other requests are not delayed by it.
   if (this->node.crashes.suspected(this->identity())) {
     co_await std::move(check);
   } else {
--- a/src/request-handler.cc
+++ b/src/request-handler.cc
@@ -1,4 +1,5 @@
-// A request's way from its head to its end: checks, attempts, refusals.
+// The processing of a request from its head to its end: checks, attempts,
+// refusals.
 #include "request-handler.h"
 
 #include <absl/strings/str_cat.h>
@@ -14,40 +15,43 @@
 namespace net = boost::asio;
 namespace http = boost::beast::http;
 
-/// A ready answer may still come this long after the deadline.
+/// Grace period for a response that is about to arrive at the deadline.
 constexpr absl::Duration late_answer = absl::Milliseconds(150);
 
-/// A plain call that may be repeated is given up at a server after this many
-/// times its goal, while another attempt is left.
+/// A retryable plain call is aborted after this many times the route's goal
+/// while another attempt is left.
 constexpr double first_attempt_goals = 2.2;
 
-/// When a refused caller should come back: groups reopen or free a slot
-/// within about this time.
+/// Retry delay for callers refused for lack of capacity: groups reopen or free
+/// a slot within about this time.
 constexpr absl::Duration full_retry = absl::Milliseconds(400);
-/// Evacuations last seconds at least.
+/// Retry delay during evacuations, which last seconds at least.
 constexpr absl::Duration evacuated_retry = absl::Seconds(1);
 /// Upper bound on the retry delay for rate limits: a low limit may end before
 /// the computed delay has passed.
 constexpr absl::Duration longest_limit_retry = absl::Seconds(3);
-/// Another node can take the request at once.
+/// Retry delay if only this node refuses: another node can take the request at
+/// once.
 constexpr absl::Duration other_node_retry = absl::Milliseconds(20);
-/// A configuration is read within about this time.
+/// Retry delay while no configuration is known; one is read within about this
+/// time.
 constexpr absl::Duration no_config_retry = absl::Milliseconds(500);
 
-/// A node that has just started knows its configuration and the servers within
-/// about this time, of which reading a large one takes most on a small host.
+/// How long a request waits on a node that has just started. The node reads its
+/// configuration and the server list within about this time, most of which goes
+/// into a large configuration on a small host.
 constexpr absl::Duration start_wait = absl::Milliseconds(450);
 constexpr absl::Duration start_step = absl::Milliseconds(15);
 
-/// A first event is overdue after this many times its prediction and this
-/// long on top: a group that stands still is noticed by it.
+/// A first event is overdue after this many times its predicted time plus this
+/// slack. Overdue first events reveal stalled groups.
 constexpr double first_event_factor = 2;
 constexpr absl::Duration first_event_slack = absl::Milliseconds(300);
 
-/// Sends of one request, rejected ones included.
+/// Maximum attempts of one request, including those that servers reject.
 constexpr int most_sends = 4;
 
-/// Ranks that servers know, 0 first.
+/// Lowest priority rank that servers accept; 0 is the highest.
 constexpr int lowest_rank = 9;
 /// Ranks of routes within one rank of a workspace.
 constexpr int route_ranks = 3;
@@ -109,9 +113,10 @@
   this->deadline = this->arrived + std::min(patience, this->route->timeout);
   if (const auto refused = this->match_service()) return refused;
   if (!this->quarantined()) return std::nullopt;
-  // Each server that runs it crashes, and all that runs beside it is lost. Its
-  // caller is told that it has not run, which is true of this attempt, and to
-  // stay away for as long as that holds.
+  // A quarantined request crashes each server that runs it, and all requests
+  // running beside it are lost. The refusal says that the request has not run,
+  // which is true of this attempt, and asks the caller to stay away until the
+  // quarantine ends.
   return refusal{
       503, "servers crashed under it",
       this->node.crashes.remaining(this->identity(), this->node.now())};
@@ -138,7 +143,7 @@
 
 request_handler::refusal request_handler::unknown_refusal(
     unsigned status, const char* reason) const {
-  // It may have been added since; a node with fresh news can tell.
+  // It may have been added since; a node with a newer configuration can tell.
   if (!this->node.config_fresh()) {
     return {503, "configuration is old", no_config_retry};
   }
@@ -247,14 +252,14 @@
 }
 
 net::awaitable<bool> request_handler::connect(exchange& ex) {
-  // A call that may run once only goes over a new connection: a kept one may
-  // break such that nobody can tell whether the call arrived.
-  // After a break, a new connection shows whether its server lives.
+  // A call that may run only once needs a new connection: if a kept one breaks,
+  // it is unknown whether the call arrived. After a lost attempt, a new
+  // connection shows whether the server is alive.
   const bool reuse = this->route->repeatable && !this->server_lost_before;
   const std::string error = co_await ex.connect(reuse);
   if (error.empty() && this->node.now() < ex.endpoint.send_by) co_return true;
   if (error.empty()) {
-    this->log_attempt(ex, "not_sent", "connected after the grant's end");
+    this->log_attempt(ex, "not_sent", "connected after the grant expired");
     co_return false;
   }
   this->log_attempt(ex, "not_connected", error);
@@ -294,8 +299,8 @@
     this->log_limit("server_limit_unreadable", ex, before, std::nullopt);
     return;
   }
-  // A missing header counts only in a stamped answer that is not marked as not
-  // run; any other may not come from the server itself.
+  // A missing header counts only in a stamped response that is not marked as
+  // not run; any other may not come from the server itself.
   if (!head.limit_per_s && (head.not_run || !head.stamped)) return;
   this->node.limits.note_answer(server, head.limit_per_s, ex.sent_at,
                                 this->node.now());
@@ -318,11 +323,11 @@
   }
   this->runs++;
   if (!known_id) {
-    this->log_attempt(ex, "broken", "answer of another request");
+    this->log_attempt(ex, "broken", "response has the id of another request");
     return attempt_result::broken;
   }
   if (ex.head().find(http::field::content_encoding) != ex.head().end()) {
-    this->log_attempt(ex, "broken", "answer is encoded");
+    this->log_attempt(ex, "broken", "response has a content encoding");
     return attempt_result::broken;
   }
   return std::nullopt;
@@ -340,7 +345,7 @@
 }
 
 bool request_handler::reserve_retry() {
-  // The first sending that reaches a server is no repeat to it.
+  // The first attempt that reaches a server is no retry.
   if (this->connected_sends == 0 || this->reserved) return true;
   const absl::Time now = this->node.now();
   auto repeat = this->node.retries.reserve(this->service->name,
@@ -423,7 +428,7 @@
       this->node.metrics.observe_queue(absl::ToDoubleSeconds(this->queue_time));
     }
     if (this->session.gone || !endpoint) break;
-    // It may have been found guilty while it waited.
+    // The request may have been quarantined while it waited.
     if (this->sends > 0 && this->quarantined()) break;
     this->tried.insert(endpoint->load_key());
     end = co_await this->attempt(*endpoint);
--- a/src/request-handler.h
+++ b/src/request-handler.h
@@ -1,4 +1,4 @@
-// Serves one request: choice of place, attempts, answer.
+// Serves one request: chooses an endpoint, makes attempts, relays the response.
 #pragma once
 
 #include <absl/time/time.h>
@@ -18,44 +18,44 @@
 
 class caller_session;
 
-/// How an attempt ended.
+/// The result of an attempt.
 enum class attempt_result {
-  /// The answer was passed on, or there is nobody to pass it to.
+  /// The response was relayed, or the caller has disconnected.
   done,
-  /// The server has not run the request, and never will.
+  /// The server has not run the request and will not run it.
   not_run,
-  /// The server may have run it, or part of it.
+  /// The server may have run the request, wholly or in part.
   broken
 };
 
-/// One request from its head to the end of its answer.
+/// Handles one request from its head to the end of its response.
 class request_handler {
  public:
   request_handler(node_context& node, caller_session& session,
                   http_request request, absl::Time arrived, bool keep_alive);
 
-  /// Serves the request. Returns whether the connection may be used on.
+  /// Serves the request. Returns whether the connection can be reused.
   boost::asio::awaitable<bool> run();
 
  private:
-  /// Why and how a request is answered without a server's answer.
+  /// A response that this node gives without a server.
   struct refusal {
     unsigned status = 503;
     const char* reason = "";
-    /// When the caller should come back; zero if it is not told.
+    /// Value of Retry-After; zero if the header is omitted.
     absl::Duration retry_after = absl::ZeroDuration();
   };
 
-  /// What decided the choice of a place, for the log.
+  /// The inputs of the last endpoint choice, for the log.
   struct endpoint_choice {
     std::string endpoint;
-    /// Whether the place is in this node's data hall.
+    /// Whether the endpoint is in this node's data hall.
     bool local = true;
-    /// Requests there by this node's and its peers' word.
+    /// Requests in flight there, as known to this node and its peers.
     int running = 0;
     /// Predicted time to the first event; 0 for plain services.
     double predicted_ms = 0;
-    /// What the place counts as for its slowness; 1 if it is not slow.
+    /// Slowness factor used for the endpoint; 1 if it is not slow.
     double slowness = 1;
     /// Rate limit of the server, or of the group's head; nothing if none.
     std::optional<limit_report> limit;
@@ -63,122 +63,126 @@
 
   // Checks, attempts and refusals: request-run.cc.
 
-  /// Waits a moment until a node that has started knows the configuration and
-  /// the servers.
+  /// Waits for a bounded time until a node that has just started has read the
+  /// configuration and the server list.
   boost::asio::awaitable<void> wait_until_ready();
 
-  /// Reads the request's head and finds its route, workspace, service and
-  /// model. Nothing if all are there.
+  /// Parses the request's head and finds its route, workspace, service and
+  /// model. Returns the refusal, or nothing if the request can be served.
   std::optional<refusal> reason_to_refuse();
   std::optional<refusal> match_route();
-  /// The answer about a route or key that this node does not know.
+  /// The refusal for a route or key that this node's configuration lacks.
   refusal unknown_refusal(unsigned status, const char* reason) const;
   std::optional<refusal> match_service();
-  /// Sends the request to one place, passes the answer on, and takes note of
-  /// what the run tells of the request.
+  /// Sends the request to one endpoint, relays the response and records what
+  /// the attempt shows about the request.
   boost::asio::awaitable<attempt_result> attempt(endpoint_target endpoint);
   boost::asio::awaitable<attempt_result> run_exchange(exchange& ex);
-  /// Sets the limits of an attempt.
+  /// Sets the deadlines and the expected time of an attempt.
   void prepare_exchange(exchange& ex, const endpoint_target& endpoint) const;
-  /// The request as a server gets it.
+  /// The request as sent to a server.
   http_request attempt_request(const endpoint_target& endpoint) const;
-  /// How urgent the request is among all, 0 first.
+  /// Priority rank of the request; 0 is the most urgent.
   int rank() const;
-  /// Connects to the server. False if it cannot be reached.
+  /// Connects to the server. Returns false if no connection was made in time.
   boost::asio::awaitable<bool> connect(exchange& ex);
-  /// Sends the request and reads the answer's head. False if there is none.
+  /// Sends the request and reads the response head. Returns false if none came.
   boost::asio::awaitable<bool> send_and_read_head(exchange& ex);
-  /// How an attempt ends by its answer's head; nothing if the answer is one.
+  /// The result of an attempt whose response head settles it; nothing if the
+  /// response is to be relayed.
   std::optional<attempt_result> classify_head(const exchange& ex,
                                               const answer_head& head);
-  /// Updates the server's rate limit from an answer, and logs changes and
+  /// Updates the server's rate limit from a response, and logs changes and
   /// invalid headers.
   void update_server_limit(const exchange& ex, const answer_head& head);
-  /// Whether the request may be sent again after an attempt that ended so.
+  /// Whether the request may be sent again after an attempt with this result.
   bool may_retry(attempt_result end);
-  /// Sets a further sending aside in the budget, where it stays while a place
-  /// is looked for. False if none is left.
+  /// Reserves a retry in the budget; the reservation is held while the endpoint
+  /// is chosen. Returns false if no retry is left.
   bool reserve_retry();
-  /// Counts the further sending that was set aside.
+  /// Counts the reserved retry as sent.
   void count_retry();
-  /// Ends a request that no server's answer was passed on for, or not all of
-  /// it. Returns whether the connection may be used on.
+  /// Ends a request whose response was not relayed completely. Returns whether
+  /// the connection can be reused.
   boost::asio::awaitable<bool> finish_unserved(attempt_result end);
   refusal final_refusal(attempt_result end) const;
   /// The refusal of a request for which no server could be used without a
   /// grant.
   refusal no_grant_refusal() const;
-  /// Answers without a server. Returns whether the connection may be used on.
+  /// Sends a refusal. Returns whether the connection can be reused.
   boost::asio::awaitable<bool> answer(refusal r);
   absl::Duration time_left() const;
 
-  // What it leaves in the log: request-log.cc.
+  // Logging and metrics: request-log.cc.
 
   void log_attempt(const exchange& ex, const char* end,
                    const std::string& error);
   /// Logs that a server's rate limit changed, ended or is invalid.
   void log_limit(const char* event, const exchange& ex,
                  std::optional<double> before, std::optional<double> after);
-  /// Tells of a further sending, or that there is none, and why.
+  /// Logs that a retry was sent or refused, with the state of the budget.
   void log_retry(const char* event);
-  /// How the budget of its service's repeats stands.
+  /// Current usage of the service's retry budget.
   retry_usage retries();
   void log_end(const char* outcome, const std::string& reason, unsigned status);
 
-  // Whether it crashes servers: request-crash.cc.
+  // Detection of requests that crash servers: request-crash.cc.
 
-  /// What the request is over all its attempts; read from its whole content
-  /// when it is first asked for, since few requests need it.
+  /// Identity of the request over all its attempts. Computed on first use,
+  /// since it hashes the whole content and few requests need it.
   const request_identity& identity();
-  /// Whether it may not be sent because servers crashed under it.
+  /// Whether the request is quarantined because servers crashed while running
+  /// it.
   bool quarantined();
-  /// Whether a server is known to have ended under it, or broke off.
+  /// Whether a server broke off an attempt of this request, or is known to have
+  /// crashed while running it.
   bool has_lost_servers();
   /// Whether a server that broke off can have begun to run the request.
   bool may_have_run(const exchange& ex) const;
-  /// Takes note of what a run that ended so tells of the request.
+  /// Records what an attempt shows about whether the request crashes servers.
   boost::asio::awaitable<void> record_run_result(const exchange& ex,
                                                  attempt_result end);
-  /// Finds out whether a run's server ended. Waits for it if the request's
-  /// next sending hangs on it.
+  /// Checks whether the server of a lost attempt has crashed. Waits for the
+  /// check only if the request is already suspected, since the check then
+  /// decides whether it may be retried.
   boost::asio::awaitable<void> record_server_loss(const exchange& ex);
 
-  // What it tells of a place's speed: request-speed.cc.
+  // Speed measurements of endpoints: request-speed.cc.
 
-  /// Takes note of the time until an answer, or the first event of a stream.
+  /// Records the time to a response, or to the first event of a stream.
   void record_latency(const exchange& ex);
-  /// Takes note of a plain answer before it is passed on.
+  /// Records a plain response before it is relayed.
   void record_response(const exchange& ex);
-  /// Takes note of a run that its server failed.
+  /// Records an attempt that the endpoint failed.
   void record_failure(const exchange& ex);
   endpoint_id seen(const endpoint_target& endpoint) const;
-  /// Sets what groups count as for their slowness.
+  /// Sets the slowness factor of each group option.
   void apply_slowness(const std::vector<const group_view*>& groups,
                       std::vector<group_option>& options) const;
-  /// What plain servers count as for their slowness.
+  /// Slowness factors of plain servers.
   std::vector<double> server_slowness(
       const std::vector<const server_entry*>& servers) const;
 
-  // The choice of a place: request-place.cc.
+  // Choice of the endpoint: request-place.cc.
 
-  /// Takes note that a caller asks for a model.
+  /// Records the caller's demand for a model.
   void record_demand();
   /// Draws a service of the route by weight; null if it is not configured.
   void choose_service();
-  /// A place for the next sending; nothing if there is none. Waits for one
-  /// only if a server has had the request.
+  /// Chooses the endpoint of the next attempt; nothing if there is none. Waits
+  /// for an endpoint only if the request was sent before or a grant may arrive.
   boost::asio::awaitable<std::optional<endpoint_target>> find_endpoint();
   std::optional<endpoint_target> pick();
   std::optional<endpoint_target> pick_group();
-  /// Takes note of a choice of a group, and makes it a place.
+  /// Records the choice of a group and returns it as an endpoint.
   endpoint_target select_group(const group_view& group,
                                const group_option& option);
-  /// The groups that may serve the request: all of this data hall, and some of
-  /// the others.
+  /// The groups considered for the request: all eligible ones of this data
+  /// hall, and a random few of the others.
   std::vector<const group_view*> candidate_groups();
-  /// All groups that may serve the request.
+  /// Number of all groups that are eligible for the request.
   size_t count_groups() const;
-  /// These groups as the prediction takes them.
+  /// The groups with their load and cost, as input of the prediction.
   std::vector<group_option> weigh(
       const std::vector<const group_view*>& groups) const;
   /// Whether a server is in this node's data hall.
@@ -186,74 +190,76 @@
   std::optional<endpoint_target> pick_server();
   /// The rate limit in effect for a server, if any.
   std::optional<limit_report> effective_limit(const server_entry& entry) const;
-  /// Whether a group could take the request, its load aside.
+  /// Whether a group could take the request, regardless of its load.
   bool is_eligible(const group_view& group) const;
-  /// Whether this node may have one more connection to a place.
+  /// Whether this node may open one more connection to an endpoint.
   bool has_connection_slot(const std::string& endpoint) const;
-  /// Tokens to read and to write, by the caller's word or as usual.
+  /// Prompt and answer tokens: as given by the caller, or the service's mean.
   request_size expected_size() const;
-  /// What going to another data hall counts as, in ms.
+  /// Added cost of sending a request to another data hall, in ms.
   double remote_hall_cost_ms() const;
 
-  // Whether it may be sent now: request-admit.cc.
+  // Admission and grants: request-admit.cc.
 
-  /// The places that it competes for, as admission names them.
+  /// Name of the admission queue that the request belongs to.
   std::string admission_pool() const;
   /// Whether a request may be sent to a group's members or a plain server now.
-  /// If a required grant is missing, records that it was passed over.
+  /// If a required grant is missing, records that it was skipped.
   bool may_send(const std::string& head,
                 const std::vector<std::string>& members);
-  /// Whether one of these is slow after a start, and must not get many
-  /// requests.
+  /// Whether one of these servers is still slow after a start and may get only
+  /// a limited rate of requests.
   bool is_cold(const std::vector<std::string>& members) const;
   /// Whether a slot of this node's share of a server's limit is available.
   bool has_slot(const server_entry& entry, double per_s);
-  /// Clears the servers recorded as passed over, before another choice.
+  /// Clears the servers recorded as skipped, before another choice.
   void reset_skipped();
-  /// Records that a server was passed over for lack of a grant.
+  /// Records that a server was skipped for lack of a grant.
   void skip_ungranted(const std::string& head,
                       const std::optional<limit_report>& limit);
-  /// Requests a grant for one of the servers that were passed over.
+  /// Requests a grant for one of the servers that were skipped.
   void request_grant();
   /// Consumes the grant that a choice needs, and requests one for the servers
-  /// that were passed over.
+  /// that were skipped.
   std::optional<endpoint_target> acquire_grant_if_needed(
       std::optional<endpoint_target> endpoint);
-  /// The place with the grant that it needs, which is used up; nothing if it
-  /// has just ended.
+  /// The endpoint with the grant that it needs, which is consumed; nothing if
+  /// the grant has just expired.
   std::optional<endpoint_target> acquire_grant(endpoint_target endpoint);
-  /// What the request asks of admission.
+  /// The request as admission sees it.
   admission_request make_admission_request() const;
-  /// A group for the first sending, by admission: at once, after a wait, or
-  /// none.
+  /// Chooses a group for the first attempt by admission, at once or after a
+  /// wait; nothing if the request is refused.
   boost::asio::awaitable<std::optional<endpoint_target>> admit();
-  /// The verdict of this moment, and a place if it is one.
+  /// Makes one admission decision. Returns the endpoint if the request is
+  /// admitted.
   std::optional<endpoint_target> try_admit(const admission_request& asked,
                                            bool entered);
 
-  // The passing on of answers: request-answer.cc.
+  // Relaying of responses: request-answer.cc.
 
   boost::asio::awaitable<attempt_result> relay_answer(exchange& ex,
                                                       const answer_head& head);
-  /// Waits until there is memory for more of an answer.
+  /// Waits until there is memory for more of a response.
   boost::asio::awaitable<void> wait_for_memory(exchange& ex,
                                                const answer_charge& answer);
-  /// Passes a plain answer on once it is whole.
+  /// Relays a plain response after its whole body was read.
   boost::asio::awaitable<attempt_result> relay_buffered(
       exchange& ex, const answer_head& head);
-  /// Whether an answer of this status is dropped for another attempt.
+  /// Whether a response with this status is dropped and the request retried.
   bool retry_instead(unsigned status);
-  /// Passes a stream on, event by event.
+  /// Relays a stream event by event.
   boost::asio::awaitable<attempt_result> relay_stream(exchange& ex,
                                                       const answer_head& head);
-  /// Makes the head that goes out with a stream's first events.
+  /// Builds the response head that is sent with a stream's first events.
   void begin_stream(const exchange& ex);
-  /// Has admission learn from a first event.
+  /// Passes the time to the first event to admission, which learns the
+  /// prediction's error.
   void record_prediction_error(const exchange& ex, absl::Time now);
-  /// Passes whole events on. False if the caller is gone.
+  /// Relays complete events. Returns false if the caller has disconnected.
   boost::asio::awaitable<bool> relay_events(exchange& ex,
                                             const event_batch& events);
-  /// Writes a part of a stream. False if the caller is gone.
+  /// Writes a part of a stream. Returns false if the caller has disconnected.
   boost::asio::awaitable<bool> write_stream(const std::string& bytes,
                                             bool last);
 
@@ -263,8 +269,8 @@
   absl::Time arrived;
   bool keep_alive;
 
-  /// The configuration of the request's arrival, which the pointers below
-  /// point into; null before the first.
+  /// The configuration when the request arrived; null if there was none. Keeps
+  /// the objects alive that the pointers below refer to.
   std::shared_ptr<const routing_table> table;
   const route_rule* route = nullptr;
   /// Null for requests that need no key.
@@ -274,11 +280,11 @@
   const model_profile* model = nullptr;
   caller_request info;
   std::optional<request_identity> cached_identity;
-  /// Whether its server broke off in an earlier send.
+  /// Whether a server broke off an earlier attempt.
   bool server_lost_before = false;
   absl::Time deadline = absl::InfiniteFuture();
 
-  /// Number of servers that the last choice passed over for lack of a grant.
+  /// Number of servers that the last choice skipped for lack of a grant.
   int ungranted_count = 0;
   /// One of them, chosen uniformly at random.
   std::string ungranted_server;
@@ -287,34 +293,34 @@
   /// When a grant was last requested.
   absl::Time grant_wanted_at = absl::InfinitePast();
 
-  /// Servers that it was sent to.
+  /// Endpoints that an attempt was made at.
   std::set<std::string> tried;
   /// Attempts that a server may have run.
   int runs = 0;
-  /// Attempts at all.
+  /// All attempts.
   int sends = 0;
-  /// Attempts that found a connection, so that a server may have seen them.
+  /// Attempts that got a connection, so that a server may have received them.
   int connected_sends = 0;
-  /// A further sending that the budget holds for it.
+  /// A retry reserved in the budget for this request.
   std::optional<retry_reservation> reserved;
   /// When the last attempt ended; only set after one.
   absl::Time attempt_ended_at = absl::InfinitePast();
   std::string last_error;
-  /// What admission said last; nothing if it was not asked.
+  /// The last decision of admission; nothing if admission was not used.
   std::optional<admission_decision> last_decision;
-  /// Of the last choice of a place.
+  /// Inputs of the last endpoint choice.
   endpoint_choice chosen;
-  /// Of a stream: the last event passed on, and whether its head is out.
+  /// Of a stream: id of the last event relayed, and whether its head was sent.
   int64_t last_event = -1;
   bool head_sent = false;
-  /// Whether the caller understands chunks.
+  /// Whether the caller supports chunked encoding.
   bool chunked = true;
-  /// A stream's head until it is out.
+  /// A stream's response head until it is sent.
   std::string stream_head;
   absl::Time first_event_at = absl::InfiniteFuture();
   absl::Time last_event_at = absl::InfiniteFuture();
   absl::Duration longest_pause = absl::ZeroDuration();
-  /// From its arrival until it had a place, or none.
+  /// Time from arrival until an endpoint was chosen or the choice failed.
   absl::Duration queue_time = absl::ZeroDuration();
 };
 
--- a/src/request-identity.cc
+++ b/src/request-identity.cc
@@ -11,8 +11,8 @@
                                   std::string_view host,
                                   std::string_view target,
                                   std::string_view body) {
-  // Each part seeds the hash of the next, so that nothing can move from the
-  // end of one part to the beginning of another.
+  // Each part seeds the hash of the next, so that moving bytes from the end of
+  // one part to the beginning of the next changes the hash.
   uint64_t content = stable_hash(method);
   content = stable_hash(host, content);
   content = stable_hash(target, content);
--- a/src/request-log.cc
+++ b/src/request-log.cc
@@ -1,4 +1,4 @@
-// What a request leaves in the log and in the metrics.
+// Log lines and metrics of a request.
 #include <absl/strings/str_cat.h>
 
 #include <algorithm>
--- a/src/request-routing.cc
+++ b/src/request-routing.cc
@@ -1,4 +1,4 @@
-// Where a request is sent: its service, and a group or server of it.
+// Chooses where a request is sent: its service, and a group or server of it.
 #include <algorithm>
 
 #include "caller-session.h"
@@ -10,33 +10,33 @@
 
 namespace net = boost::asio;
 
-/// What going to another data hall counts as, in ms: its delay, and the error
-/// of what is known of its load, as a part of the time between news of it.
+/// Added cost of another data hall, in ms: the network delay, plus the error of
+/// its reported load as a fraction of the interval between reports.
 constexpr double other_hall_ms = 3;
 constexpr double stale_share = 0.06;
 
-/// Groups of other halls that one request weighs, drawn at random. Two are
-/// known to spread load nearly as well as all when news of it is fresh, and far
-/// better when it is old.
+/// Number of remote groups considered for one request, drawn at random. Two
+/// choices spread load nearly as well as all when reports are fresh, and far
+/// better when they are old.
 constexpr size_t far_choices = 2;
 
-/// What going to a plain server in another data hall counts as, in requests.
+/// Added cost of a plain server in another data hall, in requests.
 constexpr double other_hall_requests = 0.5;
 
-/// Plain servers whose requests differ by less than this part of one may
-/// change places, so that nodes that see the same do not all choose the same.
+/// Width of the random term in the cost of plain servers, in requests. It keeps
+/// nodes that see the same load from all choosing the same server.
 constexpr double drawn_requests = 0.4;
 
-/// How long a request that lost its server waits for another: it is late at
+/// How long a request that lost its server waits for another. It is late at
 /// worst, and a group that lost a member is back within about this time.
 /// Callers leave a stream that is silent for two seconds.
 constexpr absl::Duration repeat_wait = absl::Milliseconds(1500);
 
-/// How long a request waits for a grant if all servers left need one: a
-/// question and its answer between data halls, and the tick that asks.
+/// How long a request waits for a grant if all remaining servers need one: a
+/// round trip between data halls plus the tick that sends the grant request.
 constexpr absl::Duration grant_wait = absl::Milliseconds(60);
 
-/// How often a waiting request looks for a place again.
+/// Interval at which a waiting request retries the choice.
 constexpr absl::Duration wait_step = absl::Milliseconds(15);
 
 }  // namespace
@@ -147,8 +147,8 @@
     const server_entry* head = this->node.directory.find(group.head());
     (this->is_local(*head) ? out : far).push_back(&group);
   }
-  // What is known of other halls is old, so that the emptiest group there would
-  // draw the requests of all nodes at once.
+  // Reports from other data halls are old, so the emptiest group there would
+  // attract the requests of all nodes at once.
   for (size_t drawn = 0; drawn < far_choices && !far.empty(); ++drawn) {
     const size_t at = this->node.random.below(far.size());
     out.push_back(far[at]);
@@ -197,8 +197,8 @@
   size_t best = servers.size();
   double least = 0;
   for (size_t i = 0; i < servers.size(); ++i) {
-    // A slow server is as dear as one with so many times the requests, the new
-    // one included.
+    // A server that is slow by some factor costs as much as one with that many
+    // times the requests, the new one included.
     const int running = this->node.loads.total(servers[i]->id, now).running;
     const double cost =
         (running + 1) * slowness[i] - 1 +
@@ -226,12 +226,12 @@
       this->service->engine) {
     const auto admitted_to = co_await this->admit();
     if (admitted_to || this->ungranted_count == 0) co_return admitted_to;
-    // A grant for a group that was passed over may arrive shortly.
+    // A grant for a group that was skipped may arrive shortly.
     this->last_decision.reset();
   }
   auto endpoint = this->pick();
-  // A request that nobody has room for is refused at once: its caller can come
-  // back in time, and one that waits would take its place late.
+  // A request for which there is no capacity is refused at once: its caller can
+  // still return in time, whereas a waiting request would be served late.
   const bool may_be_granted = this->sends == 0 && this->ungranted_count > 0;
   if (endpoint || (this->sends == 0 && !may_be_granted)) co_return endpoint;
   // Evacuations last longer than a request may wait.
--- a/src/request-speed.cc
+++ b/src/request-speed.cc
@@ -1,5 +1,5 @@
-// What requests tell of the speed of groups and plain servers, and what places
-// count as for it.
+// Measures the speed of groups and plain servers by the requests sent to them,
+// and applies the resulting slowness to the choice of an endpoint.
 #include "request-handler.h"
 
 namespace spokesail {
@@ -45,7 +45,7 @@
     return;
   }
   if (ex.aborted == abort_cause::caller_gone) return;
-  // A caller may wait for less than an answer takes.
+  // A caller's deadline may be shorter than a normal response time.
   const bool short_of_time = ex.aborted == abort_cause::time_up &&
                              now - ex.sent_at < this->route->goal;
   if (short_of_time) return;
@@ -57,7 +57,7 @@
     std::vector<group_option>& options) const {
   if (!this->node.settings.policy.learn_speeds) return;
   const absl::Time now = this->node.now();
-  // Groups of this hall and of others are bounded apart.
+  // Groups of this data hall and of the others are bounded separately.
   for (const bool near : {true, false}) {
     std::vector<size_t> part;
     std::vector<double> slowness;
--- a/src/requests.cc
+++ b/src/requests.cc
@@ -7,19 +7,19 @@
 namespace spokesail {
 namespace {
 
-/// Each new request earns this much of a retry.
+/// Retries that each new request adds to the retry budget.
 constexpr double retry_share = 0.2;
 
-/// Attempts of one request, whatever the budget says.
+/// Maximum attempts of one request, regardless of the budget.
 constexpr int max_attempts = 4;
 
 /// How long a request waits for a group to open before it is refused.
 constexpr absl::Duration closed_hold = absl::Seconds(2);
 
-/// How long a request passes over a place that failed it.
+/// How long a request avoids a target that failed it.
 constexpr absl::Duration avoid_for = absl::Milliseconds(500);
 
-/// Bounds of what a caller is told to wait.
+/// Bounds on the retry delay given to a caller.
 constexpr absl::Duration min_retry_after = absl::Seconds(1);
 constexpr absl::Duration max_retry_after = absl::Seconds(120);
 
@@ -74,7 +74,7 @@
     return refusal(408, "deadline", "the deadline has passed",
                    absl::ZeroDuration());
   }
-  // A request from another hall was counted there.
+  // A forwarded request was counted in the data hall that it came from.
   if (workspace->rate > 0 && !info.forwarded) {
     const double burst = std::max(1.0, workspace->rate * 2);
     auto [it, fresh] = this->rates.try_emplace(
--- a/src/retry-budget.cc
+++ b/src/retry-budget.cc
@@ -1,4 +1,4 @@
-// One node's share of the fleet's budget of repeats.
+// One node's share of the fleet's retry budget.
 #include "spokesail/retry-budget.h"
 
 #include <algorithm>
@@ -7,12 +7,12 @@
 namespace spokesail {
 namespace {
 
-/// Part of the budget that is spent at most; the rest is for windows that
-/// other nodes see begin at another moment, and for processes that have just
+/// Fraction of the budget that is used at most. The rest covers the windows of
+/// other nodes, which begin at other moments, and processes that have just
 /// started.
 constexpr double spent_share = 0.85;
 
-/// Part of the ratio that a process spends within its first window.
+/// Fraction of the ratio that a process uses within its first window.
 constexpr double first_share = 1 - spent_share;
 
 }  // namespace
--- a/src/routing.cc
+++ b/src/routing.cc
@@ -5,7 +5,7 @@
 namespace spokesail {
 namespace {
 
-/// A place keeps its prefixes while its load is at most this many times the
+/// An option keeps its prefixes while its load is at most this many times the
 /// mean.
 constexpr double affinity_bound = 1.25;
 
--- a/src/speed-table.cc
+++ b/src/speed-table.cc
@@ -1,4 +1,4 @@
-// Slowness from samples, and how far it is acted upon.
+// Computes slowness from samples, and bounds its effect.
 #include "spokesail/speed-table.h"
 
 #include <algorithm>
@@ -9,46 +9,47 @@
 namespace spokesail {
 namespace {
 
-/// How often the comparison is made anew.
+/// Interval between two comparisons.
 constexpr absl::Duration refresh_period = absl::Milliseconds(200);
 
-/// Samples of one place that are kept at most.
+/// Maximum number of samples kept for one endpoint.
 constexpr size_t max_samples = 32;
 
-/// A node speaks up about a place that is this slow, with this many samples,
-/// and answers a peer that did with fewer: those who saw nothing would not
-/// speak by themselves, and the rest would pass for all.
+/// A node reports an endpoint that is at least this slow, given this many
+/// samples. If a peer has reported the endpoint, fewer samples suffice: nodes
+/// that saw nothing unusual would not report on their own, and the slow reports
+/// would pass for the whole picture.
 constexpr double slowness_to_tell = 2;
 constexpr int samples_to_tell = 2;
 constexpr int samples_to_answer = 1;
 
-/// What a place that fails all its requests counts as, in its own times. A
-/// request that failed has cost its caller far more than a slow answer.
+/// Slowness of an endpoint that fails all its requests, as a multiple of its
+/// own time. A failed request costs the caller far more than a slow response.
 constexpr double failure_cost = 10;
 
-/// Failures that any place may have, as a few requests fail anywhere.
+/// Failures allowed to any endpoint, since a few requests fail anywhere.
 constexpr double usual_failures = 0.5;
 
-/// A place's share of failures may exceed that of the others by this much: few
-/// samples of a call that fails now and then differ as much by chance.
+/// Tolerated excess of an endpoint's failure share over that of the others.
+/// With few samples, a call that fails now and then varies by as much.
 constexpr double failures_by_chance = 0.15;
 
-/// The part of the places that may be made dearer; one of two may be.
+/// Largest fraction of the endpoints that may be penalized; one of two may be.
 constexpr double most_slow_share = 0.4;
 
-/// From this ratio on, a request that was ended without an answer says that
-/// its place is slow: sound places have mostly answered by then.
+/// From this ratio on, a request that ended without a response shows that its
+/// endpoint is slow: normal endpoints have mostly responded by then.
 constexpr double late_unanswered = 3;
 
-/// Slowness is told in steps of its logarithm to base two, so that a word is
-/// not new with each sample.
+/// Reported slowness is rounded to multiples of this in its base-two logarithm,
+/// so that reports do not change with each sample.
 constexpr double told_step = 0.25;
 
 double weight_of(absl::Duration age) {
   return std::exp2(-absl::FDivDuration(age, speed_table::half_life));
 }
 
-/// The lower median by weight; the values are (value, weight).
+/// The lower weighted median; the values are (value, weight).
 double median_of(std::vector<std::pair<double, double>> values) {
   std::sort(values.begin(), values.end());
   double all = 0;
@@ -61,15 +62,15 @@
   return values.empty() ? 1 : values.back().first;
 }
 
-/// A word or a sample of one node. Below 1 too, since the mean of words would
-/// else be above what they were taken from.
+/// Bounds one node's report or sample. Values below 1 are kept: clamping
+/// them to 1 would bias the mean of reports upwards.
 double clamp_slowness(double slowness) {
   return std::clamp(slowness, 1 / speed_table::max_slowness,
                     speed_table::max_slowness);
 }
 
-/// Slowness as far as its samples bear it: few say little, so that a place
-/// becomes dearer, and cheaper again, by degrees.
+/// Scales slowness by the number of samples behind it, so that the penalty of
+/// an endpoint grows and shrinks gradually.
 double scale_by_samples(double slowness, double samples) {
   const double over = samples - speed_table::min_samples + 1;
   const double part = std::clamp(over / speed_table::min_samples, 0.0, 1.0);
@@ -172,7 +173,7 @@
   for (const auto& [endpoint, sum] : sums) {
     const std::string& kind = this->records.at(endpoint).kind;
     const auto usual = ratios.find(kind);
-    // Nothing to compare it with.
+    // There is no other endpoint to compare with.
     if (failures[kind].size() < 2) continue;
     const bool compared = sum.timed && usual->second.size() >= 2;
     const double median = compared ? median_of(usual->second) : 1;
@@ -304,7 +305,7 @@
     if (slowness[i] > 1) slow.push_back(i);
   }
   if (2 * slow.size() > slowness.size()) {
-    // When most are slow, passing them over would overload the others.
+    // If most endpoints are slow, avoiding them would overload the others.
     return std::vector<double>(slowness.size(), 1.0);
   }
   std::stable_sort(slow.begin(), slow.end(), [&](size_t a, size_t b) {
--- a/src/stall-detector.cc
+++ b/src/stall-detector.cc
@@ -1,4 +1,4 @@
-// The silence of streams, and what it proves.
+// Detects stalled streams and finds the lost member by probing.
 #include "stall-detector.h"
 
 #include <absl/strings/str_cat.h>
@@ -13,23 +13,22 @@
 
 namespace net = boost::asio;
 
-/// Silence beyond the longest that the engine's figures explain, before the
-/// members are asked: the ways between hosts, and late timers.
+/// Added to the longest silence that the engine's figures explain before
+/// members are probed: network delay and late timers.
 constexpr absl::Duration ask_slack = absl::Milliseconds(70);
 
-/// A member that has no answer after this long is lost: it answers in a few
-/// milliseconds.
+/// Probe timeout: a live member responds within a few milliseconds.
 constexpr absl::Duration ask_limit = absl::Milliseconds(90);
 
-/// The members of one group are asked at most this often by one node; each
-/// question is priced.
+/// Minimum interval between probes of one group by one node, since each probe
+/// has a cost.
 constexpr absl::Duration ask_again = absl::Milliseconds(600);
 
-/// A group whose members all answer and that is silent for this long all the
-/// same has members that do not reach each other.
+/// A group that is silent for this long although all its members respond has
+/// members that do not reach each other.
 constexpr absl::Duration hopeless_silence = absl::Milliseconds(1200);
 
-/// A loop that was itself held up for this long cannot tell.
+/// If the event loop itself was delayed for this long, silence proves nothing.
 constexpr absl::Duration own_pause = absl::Milliseconds(150);
 
 }  // namespace
@@ -107,11 +106,11 @@
   absl::Time& last_asked =
       this->last_probe.try_emplace(group, absl::InfinitePast()).first->second;
   if (now - last_asked < ask_again) {
-    // Members that do not answer are named by their questions.
+    // Unresponsive members are found by their own probes.
     const bool answered = now - last_asked > ask_limit + node_timing::tick;
     const bool hopeless = answered && silence > hopeless_silence;
     if (hopeless)
-      this->abandon_group(group, "silent although all members answer");
+      this->abandon_group(group, "silent although all members respond");
     return;
   }
   last_asked = now;
@@ -127,7 +126,7 @@
                                                   bool notify_peers) {
   const server_entry* entry = this->node.directory.find(server);
   if (entry == nullptr) {
-    this->abandon_group(group, "a member is gone", server);
+    this->abandon_group(group, "a member is no longer listed", server);
     co_return;
   }
   const std::string address = entry->address;
@@ -141,7 +140,7 @@
   this->node.suspect_server(server);
   if (this->on_suspect) this->on_suspect(server);
   if (notify_peers && this->on_loss) this->on_loss({{server}, group});
-  this->abandon_group(group, absl::StrCat(server, " does not answer"), server);
+  this->abandon_group(group, absl::StrCat(server, " does not respond"), server);
 }
 
 bool stall_detector::uses(const std::string& group) const {
--- a/test/admission-bench.cc
+++ b/test/admission-bench.cc
@@ -1,4 +1,4 @@
-// What one decision of admission costs with many groups and a full queue.
+// Measures one admission decision with many groups and a full queue.
 #include <absl/strings/str_cat.h>
 #include <benchmark/benchmark.h>
 
@@ -36,8 +36,8 @@
   return out;
 }
 
-/// A look of the request at the end of the queue, with some groups and as many
-/// requests waiting.
+/// Decides on the last request in the queue, for a number of groups and of
+/// waiting requests.
 void decide(benchmark::State& state) {
   const absl::Time now = absl::UnixEpoch() + absl::Hours(1);
   const engine_profile engine = bench_engine();
--- a/test/backoff-test.cc
+++ b/test/backoff-test.cc
@@ -1,4 +1,4 @@
-// How long nodes wait between retries.
+// Delays between retries.
 #include "spokesail/backoff.h"
 
 #include <gtest/gtest.h>
--- a/test/byte-budget-test.cc
+++ b/test/byte-budget-test.cc
@@ -1,4 +1,4 @@
-// Callers that read slowly: what a node holds for them stays bounded.
+// The memory held for callers that read slowly stays bounded.
 #include "spokesail/byte-budget.h"
 
 #include <gtest/gtest.h>
@@ -22,8 +22,8 @@
   EXPECT_TRUE(second.may_grow());
 }
 
-/// Load: answers of one size that are read side by side, together larger than
-/// what may be held.
+/// Load: answers of equal size that are read concurrently and together exceed
+/// the budget.
 TEST(byte_budget, answers_do_not_wait_for_each_other) {
   byte_budget budget(limit);
   constexpr size_t whole = limit / 2;
@@ -60,8 +60,8 @@
   EXPECT_EQ(budget.held(), 0U);
 }
 
-/// Load: callers come without end, each asks for a large answer and reads none
-/// of it.
+/// Load: an endless sequence of callers that each request a large answer and
+/// read none of it.
 RC_GTEST_PROP(byte_budget, callers_that_read_nothing_cannot_fill_the_memory,
               ()) {
   constexpr size_t largest = 4 << 20;
--- a/test/crashing-request-test.cc
+++ b/test/crashing-request-test.cc
@@ -1,24 +1,23 @@
-// Requests that crash the servers that run them, and innocent ones beside.
+// A request that crashes each server that runs it must not be sent to ever more
+// servers, and innocent requests must not be quarantined.
 //
-// Seen: for half a minute at a time groups broke one after the other, and a
-// third of all requests was refused or cut off. It came about because one
-// request ended each server that began it; its caller sent it again, to any
-// node, and each node sent it to two more servers. The cause: a failure was
-// held against the server alone, and what a node had learned of a request ended
-// with the attempt. Proved by the servers' own count here, as many sends late
-// as at the start, and by log lines with the same identity under each end.
+// Guards against failures held against the server alone. A caller sends its
+// request again to any node, and each node sends it to two more servers, so
+// that groups break one after the other; for half a minute at a time, a third
+// of all requests was refused or cut off. The servers' own count of runs must
+// stop growing once the request is known.
 #include "node-fixture.h"
 
 namespace spokesail {
 namespace {
 
-/// Sends of such a request that may follow once it has crashed so many servers
-/// and all nodes had time to know.
+/// Maximum number of later sends, once this many servers have crashed and all
+/// nodes had time to learn of it.
 constexpr int most_later_sends = 3;
 constexpr size_t crashes_that_prove = 3;
 constexpr absl::Duration time_to_know = absl::Seconds(3);
 
-/// Three nodes before two domains of hosts.
+/// Three nodes and two domains of hosts.
 class crashing_request_test : public node_test {
  protected:
   static constexpr int node_count = 3;
@@ -30,8 +29,8 @@
     this->start(node_count);
   }
 
-  /// Sends the request that crashes servers once, as a new attempt, while
-  /// groups are there to take it.
+  /// Sends the crashing request as a new attempt, once a group is there to run
+  /// it.
   unsigned send_guilty(int attempt) {
     EXPECT_TRUE(this->wait_until([this, attempt] {
       node_context& state = this->nodes[attempt % node_count]->context();
@@ -53,7 +52,7 @@
     return this->on_loop([this] { return this->fleet->record.crashed.size(); });
   }
 
-  /// Sends it until servers have crashed often enough to prove it.
+  /// Sends it until enough servers have crashed to prove that it crashes them.
   int prove() {
     int attempt = 0;
     while (this->crashes() < crashes_that_prove && attempt < 20) {
--- a/test/repeat-budget-test.cc
+++ b/test/repeat-budget-test.cc
@@ -1,4 +1,4 @@
-// The budget of repeats, at one node and summed over a fleet.
+// The retry budget, at one node and summed over a fleet.
 #include <gtest/gtest.h>
 
 #include <optional>
@@ -11,10 +11,10 @@
 namespace {
 
 const absl::Time start = absl::UnixEpoch() + absl::Hours(1);
-/// When processes began that have run for long.
+/// Start time of processes that have run for longer than a window.
 const absl::Time long_ago = absl::UnixEpoch();
 
-/// Reserves a repeat and sends it.
+/// Reserves a retry and sends it.
 bool take(retry_budget& budget, const std::string& service,
           std::optional<int> nodes, absl::Time now) {
   auto repeat = budget.reserve(service, nodes, now);
@@ -43,7 +43,7 @@
   EXPECT_TRUE(take(budget, "lm", 1, start + absl::Seconds(11)));
 }
 
-// Guards against streams that pass the budget together and are sent later.
+// Guards against streams that pass the budget together and are retried later.
 TEST(retry_budget, a_reservation_counts_until_it_is_given_back) {
   retry_budget budget({0, absl::Seconds(10), 2}, long_ago);
   {
@@ -65,7 +65,7 @@
   EXPECT_TRUE(budget.reserve("lm", 1, start + absl::Seconds(13)));
 }
 
-// Guards against a process that spends again what the one before it spent.
+// Guards against a process that uses again what its predecessor used.
 TEST(retry_budget, a_process_that_starts_leaves_room_for_what_was_spent) {
   const retry_limits limits{0.2, absl::Seconds(10), 100};
   constexpr int requests = 1000;
@@ -86,7 +86,7 @@
   EXPECT_TRUE(take(budget, "lm", 1, start + absl::Seconds(10)));
 }
 
-// Guards against a slack that is divided by too few nodes beside a cut.
+// Guards against dividing the slack by too few nodes in a network partition.
 TEST(retry_budget, spends_no_slack_among_nobody_knows_how_many) {
   const retry_limits limits{0.2, absl::Seconds(10), 100};
   retry_budget budget(limits, long_ago);
@@ -101,7 +101,7 @@
   EXPECT_EQ(fleet.most(start), std::nullopt);
 }
 
-// Guards against a slack that is divided by too few nodes beside a cut.
+// Guards against dividing the slack by too few nodes in a network partition.
 TEST(peak_fleet_size, does_not_fall_while_nodes_may_be_cut_off) {
   peak_fleet_size fleet;
   fleet.note(89, start);
--- a/test/repeat-fleet-test.cc
+++ b/test/repeat-fleet-test.cc
@@ -1,6 +1,6 @@
-// What all nodes of a fleet repeat together while servers fail most requests,
-// in virtual time: nodes that start again, nodes and halls that are cut off,
-// and groups whose requests all wait for a place.
+// All nodes of a fleet stay within the retry budget together while servers fail
+// most requests, in virtual time. Nodes restart, nodes and data halls are
+// partitioned, and whole groups of requests wait for a slot.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -22,33 +22,34 @@
 constexpr absl::Duration step = absl::Milliseconds(100);
 const std::string service = "lm";
 
-/// A part that is left out, to show that the bound hangs on it.
+/// A rule that is left out, to show that the bound depends on it.
 enum class mutant {
   none,
-  /// A process that starts spends as one that has run for long.
+  /// A process that starts uses the budget like one that has run for long.
   no_first_window,
-  /// The slack is divided by the nodes that are heard now.
+  /// The slack is divided by the number of nodes that are currently heard from.
   heard_now,
-  /// What waits for a place counts only once it is sent.
+  /// A waiting retry counts only once it is sent.
   no_reservation
 };
 
-/// What goes wrong in a run.
+/// The faults of a run.
 struct trouble {
-  /// Part of the nodes that start again at once, every so many steps.
+  /// Fraction of the nodes that restart at once, and the interval in steps.
   double killed = 0;
   int kill_period = 30;
-  /// Part of the nodes that hear nobody for half of each ten seconds.
+  /// Fraction of the nodes that are partitioned from all others for half of
+  /// each ten seconds.
   double cut = 0;
-  /// Part of the repeats that wait for a place, all for the same moment.
+  /// Fraction of the retries that wait for a slot, all for the same moment.
   double waiting = 0;
-  /// Requests at a node in a step; in every other period of this many steps
-  /// there are few.
+  /// Requests per node and step. In every other period of `wave` steps there
+  /// are few.
   double asked = 0.4;
   int wave = 0;
 };
 
-/// Nodes that would repeat each request several times.
+/// Nodes that would retry each request several times.
 class budget_fleet {
  public:
   budget_fleet(int nodes, retry_limits limits, trouble t, mutant m,
@@ -63,9 +64,9 @@
     for (int i = 1; i <= steps; ++i) this->pass(i);
   }
 
-  /// By how much repeats exceed what is allowed in the worst window. A window
-  /// is allowed what its requests give, or those of the one before it or of the
-  /// one that begins half a window before.
+  /// The excess of retries over the allowance in the worst window. The
+  /// allowance is computed from the requests of that window, of the one before
+  /// it or of the one that begins half a window earlier, whichever has most.
   double excess() const {
     double worst = -this->limits.slack;
     for (const absl::Time from : this->retries) {
@@ -91,7 +92,7 @@
     absl::Time started;
     bool alone = false;
     std::vector<retry_reservation> reserved;
-    /// Repeats that wait without a reservation.
+    /// Retries that wait without a reservation.
     int unreserved = 0;
   };
 
@@ -114,7 +115,7 @@
     const double asked = low ? 0.1 * this->faults.asked : this->faults.asked;
     for (auto& n : this->nodes) {
       const int heard = n.alone ? 1 : static_cast<int>(this->nodes.size());
-      // As nodes do: a node alone may be cut off.
+      // Like a real node: one that hears from no other may be partitioned.
       if (!n.alone && this->now - n.started >= absl::Seconds(4)) {
         n.fleet.note(heard, this->now);
       }
@@ -128,7 +129,7 @@
       if (!this->drawn(this->faults.killed)) continue;
       const bool forgets = this->left_out == mutant::no_first_window;
       const bool alone = n.alone;
-      // Reservations go before the budget that they are of.
+      // Reservations must be destroyed before their budget.
       n.reserved.clear();
       n = node(this->limits, forgets ? long_ago : this->now);
       n.alone = alone;
@@ -173,7 +174,7 @@
 
   void send_waiting(node& n) {
     for (auto& reserved : n.reserved) {
-      // Some callers have left.
+      // Some callers have disconnected.
       if (this->drawn(0.8)) this->send(reserved);
     }
     n.reserved.clear();
@@ -194,7 +195,7 @@
   std::vector<absl::Time> retries;
 };
 
-/// Slack in proportion to the nodes, as operators give it.
+/// Slack in proportion to the number of nodes, as operators configure it.
 retry_limits limits_of(int nodes) {
   return {0.2, absl::Seconds(10), 4.0 * nodes};
 }
@@ -205,8 +206,8 @@
   return fleet.excess();
 }
 
-/// Load: at each node 1 to 9 requests a second, even or in waves, of which
-/// servers fail all.
+/// Load: 1 to 9 requests per second at each node, steady or in waves; servers
+/// fail all of them.
 RC_GTEST_PROP(repeat_fleet, keeps_the_budget_whatever_strikes, ()) {
   const int nodes = *rc::gen::element(9, 30, 89, 295);
   trouble t;
--- a/test/repeat-limit-test.cc
+++ b/test/repeat-limit-test.cc
@@ -1,4 +1,4 @@
-// Repeats that servers receive from real nodes, against the fleet's budget.
+// Retries that servers receive from real nodes stay within the fleet's budget.
 #include <algorithm>
 
 #include "node-fixture.h"
@@ -6,7 +6,7 @@
 namespace spokesail {
 namespace {
 
-/// Runs past the first of their request, in the worst window.
+/// Number of runs after the first of their request, in the worst window.
 int max_retries(const std::vector<standin::server_run>& runs,
                 absl::Duration window) {
   std::set<std::string> seen;
@@ -29,7 +29,7 @@
     this->nodes_long_running = false;
   }
 
-  /// Lets the nodes run for as long as the budget looks back.
+  /// Lets the nodes run for a whole window of the budget.
   void wait_for_window() {
     std::this_thread::sleep_for(
         absl::ToChronoMilliseconds(1.1 * this->retries.window));
@@ -57,7 +57,7 @@
   int requests = 0;
 };
 
-// Guards against a budget that each process begins in full and alone.
+// Guards against a budget that starts full in each new process.
 TEST_F(repeat_limit_test, processes_that_start_add_nothing_to_the_budget) {
   this->retries = {0.1, absl::Seconds(4), 20};
   this->start(2);
@@ -78,7 +78,7 @@
   EXPECT_GT(this->most_repeats_seen(), 0);
 }
 
-// Guards against a slack that is divided by too few nodes beside a cut.
+// Guards against dividing the slack by too few nodes in a network partition.
 TEST_F(repeat_limit_test, a_node_that_hears_nobody_spends_no_others_part) {
   constexpr int others = 3;
   constexpr int calls = 30;
@@ -97,12 +97,12 @@
   EXPECT_GT(this->most_repeats_seen(), 0);
 }
 
-// Guards against repeats that are used up by servers that cannot be reached.
+// Guards against unreachable servers that use up retries.
 TEST_F(repeat_limit_test, servers_that_are_not_reached_cost_no_repeats) {
   this->retries = {0, absl::Seconds(1), 100};
   this->keys_fail_closed = false;
   this->start(1);
-  // The node is not to learn of the server's end, by a watch that waits either.
+  // The node must not learn of the server's end, not even by a pending watch.
   this->on_loop([this] { return this->fleet->faults.store_silent = true; });
   this->wait_for_window();
   node_context& state = this->nodes[0]->context();
@@ -137,7 +137,7 @@
   one_group_limit_test() : repeat_limit_test(3) {}
 };
 
-// Guards against streams that pass the budget together and are sent later.
+// Guards against streams that pass the budget together and are retried later.
 TEST_F(one_group_limit_test, streams_of_a_lost_group_keep_the_budget) {
   constexpr int streams = 8;
   this->retries = {0, absl::Seconds(3), 2};
--- a/test/request-admission-test.cc
+++ b/test/request-admission-test.cc
@@ -1,4 +1,4 @@
-// Verdicts where room is short, in virtual time.
+// Admission decisions when capacity is short, in virtual time.
 #include "spokesail/request-admission.h"
 
 #include <absl/strings/str_cat.h>
@@ -30,7 +30,7 @@
   return out;
 }
 
-/// One node's admission before groups whose load the test sets.
+/// One node's admission, with groups whose load the test sets.
 struct node_before_groups {
   engine_profile engine = test_engine();
   std::vector<group_option> options;
@@ -71,7 +71,7 @@
     return this->decide(request);
   }
 
-  /// Groups that all hold as much.
+  /// Creates groups with equal load.
   void fill(size_t groups, int running, double unread = 0) {
     this->options.clear();
     for (size_t i = 0; i < groups; ++i) {
@@ -79,7 +79,7 @@
     }
   }
 
-  /// Requests come at this rate for a while, and all are sent or refused.
+  /// Requests arrive at this rate for a while, and all are sent or refused.
   void arrivals(double per_s, absl::Duration time) {
     const absl::Time until = this->now + time;
     while (this->now < until) {
@@ -309,7 +309,8 @@
   ASSERT_EQ(node.enter_and_decide(early).action, admission_action::refuse);
   const auto told = node.enter_and_decide(kept);
   ASSERT_EQ(told.action, admission_action::refuse);
-  // The early one comes back at once, is refused, and again with the other.
+  // The early caller returns at once and is refused, then returns with the
+  // other.
   early = node.ask("w", 3, 60 * ms);
   early.caller = "early";
   ASSERT_EQ(node.enter_and_decide(early).action, admission_action::refuse);
@@ -325,8 +326,8 @@
   EXPECT_EQ(node.decide(kept).action, admission_action::send);
 }
 
-/// Longest that a kind of a workspace that always has one waiting went without
-/// a turn, in turns, while requests of all ranks compete.
+/// The largest number of turns for which a kind of a workspace went without one
+/// while it always had a request waiting and all ranks competed.
 uint64_t longest_without_turn(queue_policy order,
                               const std::vector<int>& ranks) {
   fair_queue queue(order);
@@ -404,7 +405,7 @@
   RC_ASSERT(node.admission.waiting_bytes() == 0U);
 }
 
-/// Nodes that decide by old news of the same groups.
+/// Nodes that decide on outdated load of the same groups.
 struct nodes_with_old_news {
   explicit nodes_with_old_news(size_t count) : nodes(count) {
     for (size_t i = 0; i < count; ++i) {
@@ -416,8 +417,8 @@
   std::vector<node_before_groups> nodes;
 };
 
-/// Most requests that any of 15 groups held at once while 83 nodes had requests
-/// at random, by news of the given age.
+/// The largest number of requests that any of 15 groups held at once, with 83
+/// nodes, random arrivals and load reports of the given age.
 int most_in_one_group(double per_s, absl::Duration load_age) {
   constexpr size_t groups = 15;
   constexpr size_t count = 83;
@@ -468,8 +469,8 @@
   return most;
 }
 
-/// What nodes send to a group beyond its places, at most: twice what comes for
-/// one group within 100 ms, until all know of it.
+/// Maximum number of requests sent to a group beyond its slots: twice the
+/// arrivals for one group within 100 ms, the time until all nodes know of them.
 constexpr int stated_excess = 12;
 
 TEST(request_admission, nodes_do_not_send_more_than_places_hold) {
--- a/test/request-policy-test.cc
+++ b/test/request-policy-test.cc
@@ -1,4 +1,4 @@
-// Routing table, choice of group and load table.
+// Routing table, choice of group, and load table.
 #include <gtest/gtest.h>
 
 #include "spokesail/engine-model.h"
--- a/test/requests-test.cc
+++ b/test/requests-test.cc
@@ -7,7 +7,7 @@
 
 const absl::Time start = absl::UnixEpoch() + absl::Hours(1);
 
-/// A world whose places a test sets.
+/// A routing view whose targets the test sets.
 class small_world final : public routing_view {
  public:
   std::vector<open_target> open_places(target_kind,
@@ -80,7 +80,7 @@
     return n;
   }
 
-  /// The end of a request, which must have come once.
+  /// The result of a request, which must have been given exactly once.
   outcome ended(uint64_t id) const {
     outcome found;
     int n = 0;
@@ -224,7 +224,7 @@
 }
 
 TEST_F(requests, retries_keep_to_a_share_of_traffic) {
-  // Every attempt breaks: the storm must not multiply the load.
+  // Every attempt breaks; retries must not multiply the load.
   int sent = 0;
   for (int i = 0; i < 400; i++) {
     const auto id = this->send();
--- a/test/slow-caller-test.cc
+++ b/test/slow-caller-test.cc
@@ -1,19 +1,19 @@
-// Callers that do not read their answers, before a node and a small fleet on
-// loopback. Outcomes are asserted, never how long something took.
+// Callers that do not read their responses, with nodes and a small fleet on
+// loopback. Only outcomes are asserted, never durations.
 #include "node-fixture.h"
 
 namespace spokesail {
 namespace {
 
-/// More than the sockets between a node and its caller hold.
+/// More than the socket buffers between a node and its caller hold.
 constexpr size_t large_answer = 14 << 20;
 
-/// A fleet whose plain answers are large.
+/// A fleet whose plain responses are large.
 class slow_caller_test : public node_test {
  protected:
   slow_caller_test() { this->fleet->faults.plain_answer_bytes = large_answer; }
 
-  /// A caller that has asked for a large answer and reads none of it.
+  /// A caller that has requested a large response and reads none of it.
   tcp::socket slow_caller(const std::string& id) {
     auto socket = this->connect();
     auto out = request(id, "/look/1");
--- a/test/speed-table-test.cc
+++ b/test/speed-table-test.cc
@@ -1,5 +1,5 @@
-// Slow and failing places among sound ones, in virtual time. Each test names
-// its load.
+// Slow and failing endpoints among normal ones, in virtual time. Each test
+// names its load.
 #include "spokesail/speed-table.h"
 
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
 const absl::Time begin = absl::FromUnixSeconds(1000);
 
 std::string name_of(int endpoint) {
-  // As long as the names of groups and servers are.
+  // As long as the names of real groups and servers.
   return "dele69a-large-" + std::to_string(100000 + endpoint);
 }
 
@@ -27,13 +27,13 @@
   return {"lm/large", name_of(endpoint), epoch};
 }
 
-/// What a request at a place meets: what its answer takes against what was
-/// expected, or nothing if it fails.
+/// The time that a request takes at an endpoint, relative to what was expected;
+/// nothing if it fails.
 using place_answer = std::function<std::optional<double>(int node, int endpoint,
                                                          absl::Time now)>;
 
-/// Nodes of one hall that choose among places by slowness, and tell each other
-/// what they saw.
+/// Nodes of one data hall that choose endpoints by slowness and report to each
+/// other what they saw.
 struct small_hall {
   int nodes = 1;
   int places = 10;
@@ -43,7 +43,7 @@
   absl::Time now = begin;
   std::vector<speed_table> tables = std::vector<speed_table>(nodes);
   random_stream random{std::mt19937_64(7)};
-  /// Requests that each place got since the last reset.
+  /// Requests that each endpoint received since the last reset.
   std::map<int, int> got = {};
 
   void run(absl::Duration time) {
@@ -66,7 +66,7 @@
     }
   }
 
-  /// The cheapest of three that are drawn.
+  /// The cheapest of three endpoints drawn at random.
   int choose(int node) {
     const std::vector<double> cost = this->slowness(node);
     int best = static_cast<int>(this->random.below(this->places));
@@ -95,7 +95,7 @@
     }
   }
 
-  /// Requests at the first places against those at as many others.
+  /// Fraction of all requests that went to the first endpoints.
   double share_of_first(int first) const {
     double there = 0;
     double all = 0;
@@ -107,7 +107,7 @@
   }
 };
 
-/// Answers that vary by a factor of two both ways.
+/// Response times that vary by a factor of two both ways.
 double varied(small_hall& hall) {
   return std::exp2(2 * hall.random.unit() - 1);
 }
@@ -137,7 +137,7 @@
   hall.run(absl::Seconds(4));
   hall.got.clear();
   hall.run(absl::Seconds(4));
-  // Even shares would be 0.4.
+  // Equal shares would give 0.4.
   EXPECT_LT(hall.share_of_first(40), 0.2);
 }
 
@@ -156,7 +156,7 @@
       EXPECT_EQ(hall.slowness(node)[0], 1) << node;
     }
   }
-  // By turns, since it is tried again.
+  // It is slow only part of the time, since it is tried again.
   EXPECT_GT(seen_slow, 5);
 }
 
@@ -169,7 +169,7 @@
   hall.run(absl::Seconds(2));
   hall.got.clear();
   hall.run(absl::Seconds(5));
-  // An even share would be 0.1.
+  // An equal share would be 0.1.
   EXPECT_LT(hall.share_of_first(1), 0.04);
 }
 
@@ -228,7 +228,7 @@
   EXPECT_TRUE(table.reported(begin).empty());
 }
 
-/// A table in which the first of four places is slow.
+/// A table in which the first of four endpoints is slow.
 speed_table with_one_slow() {
   speed_table out;
   for (int endpoint = 0; endpoint < 4; ++endpoint) {
@@ -243,7 +243,8 @@
   speed_table table = with_one_slow();
   ASSERT_GT(table.slowness(name_of(0), begin), 3);
   table.set_epoch(seen(0, 2), begin);
-  // A peer that has not heard of it still speaks of the former group.
+  // A peer that has not learned of the new epoch still reports the former
+  // group.
   table.update_peer("peer", {{name_of(0), 4, 12}}, begin);
   const absl::Time later = begin + absl::Milliseconds(400);
   EXPECT_EQ(table.slowness(name_of(0), later), 1);
@@ -282,8 +283,8 @@
 
 using bound = std::function<std::vector<double>(std::vector<double>)>;
 
-/// Whether never more than the stated share counts as slow, none becomes
-/// dearer than it was, and nobody is slow where most are.
+/// Whether at most the stated share is slow, no slowness was increased, and no
+/// endpoint is slow when most are.
 bool holds(const bound& limit, const std::vector<double>& slowness) {
   const std::vector<double> out = limit(slowness);
   size_t was = 0;
@@ -322,7 +323,7 @@
   EXPECT_EQ(bound_slowness({3}), (std::vector<double>{1}));
 }
 
-/// Bytes that speeds add to one datagram.
+/// Bytes that the reports add to one datagram.
 size_t bytes_of(const std::vector<endpoint_speed>& speeds) {
   node_message with;
   with.node = "front-ist-a-12";
@@ -351,8 +352,9 @@
                  static_cast<int>(bytes_of({reported.front()})));
 }
 
-/// Bytes a second that speeds add for one node of a hall: datagrams to each of
-/// the others, twice a second while nothing else is said.
+/// Measures the bytes that the reports add to one node's datagrams in a data
+/// hall. A node sends a datagram to each of the others, twice a second if there
+/// is nothing else to send.
 void count_bytes(int nodes, int places, int slow) {
   small_hall hall{.nodes = nodes, .places = places};
   hall.answer = [&](int, int endpoint, absl::Time) {
--- a/test/stall-watch-test.cc
+++ b/test/stall-watch-test.cc
@@ -1,5 +1,5 @@
-// Groups that stand still, by what a node's own streams show. The load: a
-// second run that is sent to a group from which nothing ever comes.
+// Stalled groups are found from a node's own streams. Load: an attempt at a
+// group from which no event ever comes.
 #include <gtest/gtest.h>
 
 #include "fleet-adapter.h"
@@ -11,7 +11,7 @@
 
 namespace net = boost::asio;
 
-/// A store that nobody reaches.
+/// A store that cannot be reached.
 class no_store : public object_store {
  public:
   net::awaitable<platform_answer> call(platform_call) override {
@@ -31,8 +31,8 @@
   return *log;
 }
 
-/// A node that is never run: its members are asked, and nothing says that one
-/// is gone, as if all had answered.
+/// A node whose loop never runs: its probes stay pending and report no loss, as
+/// if all members had responded.
 class stall_test : public testing::Test {
  protected:
   stall_test() {
@@ -50,7 +50,7 @@
     return {"s1", "127.0.0.1:1", "large-7", 1, {"s1", "s2"}, 1};
   }
 
-  /// A request that was sent at the start, its first event due in `due`.
+  /// A request sent at the start, whose first event is due after `due`.
   std::unique_ptr<exchange> send(absl::Duration due) {
     auto out = std::make_unique<exchange>(this->node, endpoint(), 100);
     out->sent_at = this->begun;
@@ -58,7 +58,7 @@
     return out;
   }
 
-  /// Looks at every tick from the start until `until`.
+  /// Checks at every tick between `from` and `until` after the start.
   void look(absl::Duration from, absl::Duration until) {
     for (absl::Duration at = from; at < until; at += node_timing::tick) {
       this->watch.check(this->begun + at);
