--- a/include/spokesail/admission.h
+++ b/include/spokesail/admission.h
@@ -46,7 +46,7 @@
 /// callers' turns by cost, then arrival.
 class fair_queue {
  public:
-  explicit fair_queue(queue_policy order = {}) : order(order) {}
+  explicit fair_queue(queue_policy policy = {}) : policy(policy) {}
 
   /// Adds a request. Returns false if the queue already holds `limit` requests,
   /// if the queue is half full and the workspace holds more than its share, or
@@ -76,47 +76,49 @@
   bool empty() const { return this->count == 0; }
 
  private:
-  using line_key = std::pair<std::string, std::string>;
-  struct line {
+  using kind_and_workspace = std::pair<std::string, std::string>;
+  struct workspace_queue {
     double start_tag = 0;
     std::deque<queued_request> waiting;
     /// Start tags of the callers within the workspace, and their virtual time.
     std::map<std::string, double> callers;
-    double caller_time = 0;
+    double caller_virtual_time = 0;
   };
   /// The position of a request: its workspace, and its index in that queue.
   struct position {
     std::string workspace;
-    size_t at = 0;
+    size_t index = 0;
   };
 
   /// The position of the next request; nothing if none waits.
-  std::optional<position> turn() const;
+  std::optional<position> next_position() const;
   /// The next request by priority and the workspaces' shares.
   std::optional<position> next_by_share() const;
   /// The next request of the kind and workspace that has waited for the most
   /// turns.
   std::optional<position> next_by_starvation_guard() const;
   /// Index of the next request in a workspace's queue, of one kind or of all.
-  static size_t first_in_line(const line& line, const std::string* kind);
-  /// Advances the virtual time after a request with start tag `served`.
-  void advance(double served);
+  static size_t first_index(const workspace_queue& queue,
+                            const std::string* kind);
+  /// Advances the virtual time after the request with the tag `served_tag` was
+  /// served.
+  void advance(double served_tag);
   /// Whether a caller holds more than its part of its workspace's share.
-  static bool exceeds_caller_share(const line& line, const std::string& caller,
-                                   size_t share);
+  static bool exceeds_caller_share(const workspace_queue& queue,
+                                   const std::string& caller, size_t share);
   /// Adds a caller, with a tag not before the callers that are being served.
-  static void join(line& line, const std::string& caller);
+  static void add_caller(workspace_queue& queue, const std::string& caller);
   /// Drops callers that have no requests waiting, first those whose tag the
   /// virtual time has passed.
-  static void prune_callers(line& line);
+  static void prune_callers(workspace_queue& queue);
 
-  queue_policy order;
-  std::map<std::string, line> lines;
+  queue_policy policy;
+  std::map<std::string, workspace_queue> workspace_queues;
   double virtual_time = 0;
   size_t count = 0;
   /// Number of turns taken, and the last turn of each kind and workspace.
-  uint64_t turns = 0;
-  std::map<line_key, uint64_t> last_turn;
+  uint64_t turns_taken = 0;
+  std::map<kind_and_workspace, uint64_t> last_turn;
 };
 
 /// A token bucket; the user supplies the time.
--- a/include/spokesail/byte-budget.h
+++ b/include/spokesail/byte-budget.h
@@ -15,10 +15,10 @@
   /// Holds at most `limit` bytes; 0 for no limit.
   explicit byte_budget(size_t limit) : limit(limit) {}
 
-  void add(size_t bytes) { this->byte_charge += bytes; }
-  void remove(size_t bytes) { this->byte_charge -= bytes; }
+  void add(size_t bytes) { this->used_bytes += bytes; }
+  void remove(size_t bytes) { this->used_bytes -= bytes; }
 
-  size_t held() const { return this->byte_charge; }
+  size_t held() const { return this->used_bytes; }
   /// Registers an answer that will grow, and removes it. Returns its number.
   uint64_t begin_answer();
   void end_answer(uint64_t answer) { this->answers.erase(answer); }
@@ -31,7 +31,7 @@
 
  private:
   size_t limit;
-  size_t byte_charge = 0;
+  size_t used_bytes = 0;
   uint64_t last_answer = 0;
   /// Numbers of growing answers, the oldest first.
   std::set<uint64_t> answers;
--- a/include/spokesail/load-table.h
+++ b/include/spokesail/load-table.h
@@ -40,7 +40,7 @@
   /// Replaces a peer's report. `far` is set if the peer is in another data hall
   /// or reports for one.
   void update_peer(const std::string& peer, std::vector<endpoint_load> loads,
-                   absl::Time now, bool far = false);
+                   absl::Time now, bool remote = false);
 
   /// Drops a peer's report.
   void remove_peer(const std::string& peer);
@@ -49,36 +49,36 @@
   endpoint_load total(const std::string& endpoint, absl::Time now);
 
   /// Number of requests that this node has started.
-  uint64_t begun() const { return this->begun_count; }
+  uint64_t begun() const { return this->started_count; }
   /// This node's own requests, to report to its peers.
   std::vector<endpoint_load> own() const;
   /// Number of this node's requests at one endpoint.
   int own_running(const std::string& endpoint) const;
   /// Requests in flight by endpoint, of this data hall or of all others.
-  std::vector<endpoint_load> hall_sum(bool far, absl::Time now);
+  std::vector<endpoint_load> hall_sum(bool remote, absl::Time now);
 
  private:
   /// A peer's requests, and when it reported them.
   struct peer_load {
     std::vector<endpoint_load> places;
     absl::Time at;
-    bool far = false;
+    bool remote = false;
   };
   using sums = absl::flat_hash_map<std::string, endpoint_load>;
 
   /// Adds a peer's requests to the sums, or subtracts them.
-  void count(const peer_load& peer, int sign);
+  void add_scaled(const peer_load& peer, int sign);
   /// Drops expired reports.
   void expire(absl::Time now);
 
-  uint64_t begun_count = 0;
-  sums mine;
+  uint64_t started_count = 0;
+  sums own_sums;
   /// Sums of the peers in this data hall and in the others.
   sums local_sums;
   sums remote_sums;
   absl::flat_hash_map<std::string, peer_load> peers;
   /// Time of the oldest report; none expires before it does.
-  absl::Time oldest = absl::InfiniteFuture();
+  absl::Time oldest_report = absl::InfiniteFuture();
 };
 
 }  // namespace spokesail
--- a/include/spokesail/prediction-error.h
+++ b/include/spokesail/prediction-error.h
@@ -14,12 +14,12 @@
  public:
   /// Maximum number and age of the samples.
   static constexpr size_t max_samples = 31;
-  static constexpr absl::Duration memory = absl::Seconds(10);
+  static constexpr absl::Duration max_sample_age = absl::Seconds(10);
   /// With fewer samples the error is unknown.
   static constexpr size_t min_samples = 5;
 
   /// Records a first event; times in ms.
-  void add_sample(double predicted_ms, double taken_ms, absl::Time now);
+  void add_sample(double predicted_ms, double actual_ms, absl::Time now);
 
   /// The expected error of a prediction, in ms; 0 if there are too few recent
   /// samples.
--- a/include/spokesail/request-admission.h
+++ b/include/spokesail/request-admission.h
@@ -114,8 +114,8 @@
                                      random_stream& random);
 
   /// Records a first event; times in ms.
-  void note_first_event(const std::string& pool, double predicted_ms,
-                        double taken_ms, absl::Time now);
+  void record_first_event(const std::string& pool, double predicted_ms,
+                          double actual_ms, absl::Time now);
 
   /// Number of requests that wait for a pool's slots.
   size_t waiting(const std::string& pool) const;
@@ -134,13 +134,13 @@
   struct pool_state {
     pool_state();
     fair_queue queue;
-    std::map<uint64_t, uint64_t> entered;
+    std::map<uint64_t, uint64_t> queued_bytes;
     prediction_error error;
     event_rate sent;
     /// Rate of draws for scarce slots, and the time until which no draw is made
     /// after a miss.
     event_rate draw_rate;
-    absl::Time next_draw = absl::InfinitePast();
+    absl::Time next_draw_at = absl::InfinitePast();
     /// Moving average of the routes' goals, in ms; 0 before the first request.
     double mean_goal_ms = 0;
     /// When the caller that was refused last is to return.
@@ -153,25 +153,26 @@
                                 const pool_state& pool, absl::Time now);
   /// Sends a request that can be in time and is first in the queue, unless the
   /// draw for scarce slots makes it wait.
-  static admission_decision send_in_time(const forecast& seen,
-                                         const admission_view& view,
-                                         const request_size& size,
-                                         pool_state& pool, absl::Time now,
-                                         random_stream& random);
+  static admission_decision decide_in_time(const forecast& prediction,
+                                           const admission_view& view,
+                                           const request_size& size,
+                                           pool_state& pool, absl::Time now,
+                                           random_stream& random);
   /// Draws whether this node takes a share of scarce slots.
-  static bool claim_share(const forecast& seen, const admission_view& view,
-                          pool_state& pool, absl::Time now,
-                          random_stream& random);
+  static bool claim_share(const forecast& prediction,
+                          const admission_view& view, pool_state& pool,
+                          absl::Time now, random_stream& random);
   /// Decides on a request that cannot be in time at any option.
   static admission_decision decide_late(const admission_request& request,
                                         const admission_view& view,
                                         const pool_state& pool,
-                                        const forecast& seen, absl::Time now);
+                                        const forecast& prediction,
+                                        absl::Time now);
   /// Fills in a refusal, with the time after which the caller should return.
   static void refuse(const admission_request& request,
                      const admission_view& view, pool_state& pool,
                      const char* reason, absl::Time now, random_stream& random,
-                     admission_decision& answer);
+                     admission_decision& out);
   void check_early_retry(const admission_request& request, absl::Time now);
   void store_retry_time(const admission_request& request, absl::Time at,
                         absl::Time now);
--- a/include/spokesail/requests.h
+++ b/include/spokesail/requests.h
@@ -137,11 +137,11 @@
   request_table(std::string node, uint64_t boot)
       : node(std::move(node)), boot(boot) {}
 
-  void arrive(const request_info& info, const routing_view& world,
+  void arrive(const request_info& info, const routing_view& view,
               random_stream& random, absl::Time now, request_actions& out);
 
   void attempt_ended(uint64_t request, const std::string& attempt,
-                     attempt_end end, const routing_view& world,
+                     attempt_end end, const routing_view& view,
                      random_stream& random, absl::Time now,
                      request_actions& out);
 
@@ -150,7 +150,7 @@
 
   /// Ends overdue requests, abandons attempts at groups that closed, and sends
   /// queued requests.
-  void step(const routing_view& world, random_stream& random, absl::Time now,
+  void step(const routing_view& view, random_stream& random, absl::Time now,
             request_actions& out);
 
   /// Refuses all new requests from now on.
@@ -162,7 +162,7 @@
   std::optional<attempt_target> where(uint64_t request,
                                       const std::string& attempt) const;
   /// Number of this node's attempts running at a target.
-  int in_flight(const std::string& place) const;
+  int in_flight(const std::string& target) const;
 
  private:
   struct entry {
@@ -190,20 +190,20 @@
   };
 
   std::optional<outcome> reason_to_refuse(const request_info& info,
-                                          const routing_view& world,
+                                          const routing_view& view,
                                           absl::Time now);
   void finish(uint64_t id, outcome result, request_actions& out);
   void release_target(entry& e);
-  void pump(const pool_key& key, const routing_view& world,
-            random_stream& random, absl::Time now, request_actions& out);
-  bool start_one(entry& e, const routing_view& world, random_stream& random,
-                 absl::Time now, request_actions& out);
-  void retry(entry& e, attempt_end end, const routing_view& world,
+  void send_queued(const pool_key& key, const routing_view& view,
+                   random_stream& random, absl::Time now, request_actions& out);
+  bool start_attempt(entry& e, const routing_view& view, random_stream& random,
+                     absl::Time now, request_actions& out);
+  void retry(entry& e, attempt_end end, const routing_view& view,
              random_stream& random, absl::Time now, request_actions& out);
-  void abandon_closed(const routing_view& world, random_stream& random,
+  void abandon_closed(const routing_view& view, random_stream& random,
                       absl::Time now, request_actions& out);
-  absl::Duration queue_wait(const pool& p, int places) const;
-  outcome refuse_closed(const entry& e, const routing_view& world) const;
+  absl::Duration queue_wait(const pool& p, int targets) const;
+  outcome refuse_closed(const entry& e, const routing_view& view) const;
 
   std::string node;
   uint64_t boot = 0;
--- a/include/spokesail/retry-budget.h
+++ b/include/spokesail/retry-budget.h
@@ -29,7 +29,7 @@
   /// Retries that are reserved and not sent yet.
   int reserved = 0;
   /// Retries that are left.
-  double left = 0;
+  double remaining = 0;
   bool operator==(const retry_usage&) const = default;
 };
 
@@ -57,8 +57,8 @@
                                            absl::Time now);
 
   /// Current usage of a service's budget.
-  retry_usage account(const std::string& service, std::optional<int> nodes,
-                      absl::Time now);
+  retry_usage usage(const std::string& service, std::optional<int> nodes,
+                    absl::Time now);
 
  private:
   friend class retry_reservation;
@@ -69,10 +69,10 @@
     int reserved = 0;
   };
   /// A service's history, after entries older than the window are dropped.
-  history& recent(const std::string& service, absl::Time now);
+  history& current_history(const std::string& service, absl::Time now);
   /// Number of retries that this node may send within the window.
-  double allowed(const history& h, std::optional<int> nodes,
-                 absl::Time now) const;
+  double allowance(const history& h, std::optional<int> nodes,
+                   absl::Time now) const;
 
   retry_limits limits;
   absl::Time started;
@@ -91,7 +91,7 @@
 
  private:
   friend class retry_budget;
-  explicit retry_reservation(retry_budget::history& of);
+  explicit retry_reservation(retry_budget::history& source);
 
   /// Null once it is spent or moved from.
   retry_budget::history* history;
--- a/include/spokesail/speed-table.h
+++ b/include/spokesail/speed-table.h
@@ -59,15 +59,15 @@
   static constexpr size_t most_told = 16;
 
   /// Records a response that took `ratio` times as long as expected.
-  void add_sample(const endpoint_id& seen, double ratio, absl::Time now);
+  void add_sample(const endpoint_id& id, double ratio, absl::Time now);
   /// Records a request that either side ended before a response came, after
   /// `ratio` times the expected time. Has an effect only if that is late: the
   /// response would have taken even longer.
-  void add_unanswered(const endpoint_id& seen, double ratio, absl::Time now);
+  void add_unanswered(const endpoint_id& id, double ratio, absl::Time now);
   /// Records a request that the endpoint failed.
-  void record_failure(const endpoint_id& seen, absl::Time now);
+  void record_failure(const endpoint_id& id, absl::Time now);
   /// Drops the samples of an endpoint's earlier epochs.
-  void set_epoch(const endpoint_id& seen, absl::Time now);
+  void set_epoch(const endpoint_id& id, absl::Time now);
   /// Replaces a peer's report.
   void update_peer(const std::string& peer, std::vector<endpoint_speed> speeds,
                    absl::Time now);
@@ -101,37 +101,37 @@
     double ratio = 1;
     double failed_share = 0;
     double weight = 0;
-    bool timed = false;
+    bool has_latency = false;
   };
   struct peer_report {
     std::vector<endpoint_speed> speeds;
     absl::Time at;
   };
-  using by_place = absl::flat_hash_map<std::string, endpoint_speed>;
+  using speed_map = absl::flat_hash_map<std::string, endpoint_speed>;
 
-  record& find_record(const endpoint_id& seen, absl::Time now);
+  record& find_record(const endpoint_id& id, absl::Time now);
   void refresh(absl::Time now);
   void expire(absl::Time now);
-  static summary sum_up(const record& r, absl::Time now);
+  static summary summarize(const record& r, absl::Time now);
   /// The slowness of each endpoint by this node's own samples.
-  by_place compare(absl::Time now) const;
+  speed_map compare(absl::Time now) const;
   /// Merges in the peers' reports.
-  by_place combine(const by_place& seen, absl::Time now) const;
-  std::vector<endpoint_speed> select_reported(const by_place& seen) const;
-  void note_changes(const by_place& next, absl::Time now);
+  speed_map combine(const speed_map& measured, absl::Time now) const;
+  std::vector<endpoint_speed> select_reported(const speed_map& measured) const;
+  void record_changes(const speed_map& next, absl::Time now);
 
   absl::flat_hash_map<std::string, record> records;
   absl::flat_hash_map<std::string, peer_report> peers;
   /// Results of the last refresh: the slow endpoints, and what is reported.
-  by_place slow;
+  speed_map slow;
   std::vector<endpoint_speed> current_report;
   std::vector<speed_change> changes;
-  absl::Time refreshed = absl::InfinitePast();
+  absl::Time last_refresh = absl::InfinitePast();
 };
 
-/// How many of `places` candidates for a request are penalized for slowness at
-/// most.
-size_t max_slow_endpoints(size_t places);
+/// How many of `endpoints` candidates for a request are penalized for slowness
+/// at most.
+size_t max_slow_endpoints(size_t endpoints);
 
 /// The slowness factors to use for the endpoints of one kind in one data hall.
 /// Only the slowest few are penalized, and none if most are slow, since the
--- a/src/admission.cc
+++ b/src/admission.cc
@@ -7,185 +7,190 @@
 
 /// Maximum number of callers of a workspace that are kept without a waiting
 /// request.
-constexpr size_t most_callers = 256;
+constexpr size_t max_idle_callers = 256;
 
 }  // namespace
 
 bool fair_queue::push(const queued_request& request, size_t limit) {
   if (this->count >= limit) return false;
-  auto& line = this->lines[request.workspace];
-  const size_t share = limit / (this->lines.size() + 1);
-  if (this->count >= limit / 2 && line.waiting.size() > share) return false;
-  if (exceeds_caller_share(line, request.caller, share)) return false;
-  if (line.waiting.empty()) {
-    line.start_tag = std::max(line.start_tag, this->virtual_time);
+  auto& queue = this->workspace_queues[request.workspace];
+  const size_t share = limit / (this->workspace_queues.size() + 1);
+  if (this->count >= limit / 2 && queue.waiting.size() > share) return false;
+  if (exceeds_caller_share(queue, request.caller, share)) return false;
+  if (queue.waiting.empty()) {
+    queue.start_tag = std::max(queue.start_tag, this->virtual_time);
   }
-  auto at = line.waiting.end();
-  while (at != line.waiting.begin() &&
+  auto at = queue.waiting.end();
+  while (at != queue.waiting.begin() &&
          std::prev(at)->priority < request.priority) {
     --at;
   }
-  line.waiting.insert(at, request);
+  queue.waiting.insert(at, request);
   this->count++;
-  join(line, request.caller);
+  add_caller(queue, request.caller);
   return true;
 }
 
 void fair_queue::push_front(const queued_request& request) {
-  auto& line = this->lines[request.workspace];
-  line.waiting.push_front(request);
+  auto& queue = this->workspace_queues[request.workspace];
+  queue.waiting.push_front(request);
   this->count++;
-  join(line, request.caller);
+  add_caller(queue, request.caller);
 }
 
-bool fair_queue::exceeds_caller_share(const line& line,
+bool fair_queue::exceeds_caller_share(const workspace_queue& queue,
                                       const std::string& caller, size_t share) {
-  if (caller.empty() || line.waiting.size() < share / 2) return false;
-  std::map<std::string, size_t> held;
-  for (const auto& waiting : line.waiting) held[waiting.caller]++;
-  return held[caller] > share / (held.size() + 1);
+  if (caller.empty() || queue.waiting.size() < share / 2) return false;
+  std::map<std::string, size_t> count_by_caller;
+  for (const auto& waiting : queue.waiting) count_by_caller[waiting.caller]++;
+  return count_by_caller[caller] > share / (count_by_caller.size() + 1);
 }
 
-void fair_queue::join(line& line, const std::string& caller) {
-  double& tag = line.callers[caller];
-  tag = std::max(tag, line.caller_time);
-  if (line.callers.size() > most_callers) prune_callers(line);
+void fair_queue::add_caller(workspace_queue& queue, const std::string& caller) {
+  double& tag = queue.callers[caller];
+  tag = std::max(tag, queue.caller_virtual_time);
+  if (queue.callers.size() > max_idle_callers) prune_callers(queue);
 }
 
-void fair_queue::prune_callers(line& line) {
-  const auto waits = [&](const std::string& caller) {
+void fair_queue::prune_callers(workspace_queue& queue) {
+  const auto has_waiting = [&](const std::string& caller) {
     return std::any_of(
-        line.waiting.begin(), line.waiting.end(),
+        queue.waiting.begin(), queue.waiting.end(),
         [&](const auto& waiting) { return waiting.caller == caller; });
   };
-  std::erase_if(line.callers, [&](const auto& item) {
-    return item.second <= line.caller_time && !waits(item.first);
+  std::erase_if(queue.callers, [&](const auto& item) {
+    return item.second <= queue.caller_virtual_time && !has_waiting(item.first);
   });
-  if (line.callers.size() <= most_callers) return;
-  std::erase_if(line.callers,
-                [&](const auto& item) { return !waits(item.first); });
+  if (queue.callers.size() <= max_idle_callers) return;
+  std::erase_if(queue.callers,
+                [&](const auto& item) { return !has_waiting(item.first); });
 }
 
 void fair_queue::charge(const std::string& workspace, const std::string& caller,
                         double cost) {
-  auto& line = this->lines[workspace];
-  join(line, caller);
+  auto& queue = this->workspace_queues[workspace];
+  add_caller(queue, caller);
   // The caller may have been among those just dropped.
-  double& tag = line.callers[caller];
-  tag = std::max(tag, line.caller_time) + cost;
+  double& tag = queue.callers[caller];
+  tag = std::max(tag, queue.caller_virtual_time) + cost;
 }
 
-size_t fair_queue::first_in_line(const line& line, const std::string* kind) {
-  if (kind == nullptr && line.callers.size() <= 1) return 0;
+size_t fair_queue::first_index(const workspace_queue& queue,
+                               const std::string* kind) {
+  if (kind == nullptr && queue.callers.size() <= 1) return 0;
   std::optional<size_t> best;
-  double least = 0;
-  for (size_t i = 0; i < line.waiting.size(); ++i) {
-    const queued_request& request = line.waiting[i];
+  double min_tag = 0;
+  for (size_t i = 0; i < queue.waiting.size(); ++i) {
+    const queued_request& request = queue.waiting[i];
     if (kind != nullptr && request.kind != *kind) continue;
-    if (best && request.priority < line.waiting[*best].priority) break;
-    const auto found = line.callers.find(request.caller);
-    const double tag = found == line.callers.end() ? 0 : found->second;
-    if (best && tag >= least) continue;
+    if (best && request.priority < queue.waiting[*best].priority) break;
+    const auto found = queue.callers.find(request.caller);
+    const double tag = found == queue.callers.end() ? 0 : found->second;
+    if (best && tag >= min_tag) continue;
     best = i;
-    least = tag;
+    min_tag = tag;
   }
   return best.value_or(0);
 }
 
 std::optional<fair_queue::position> fair_queue::next_by_share() const {
-  auto best = this->lines.end();
-  int urgency = 0;
-  for (auto it = this->lines.begin(); it != this->lines.end(); ++it) {
-    const line& line = it->second;
-    if (line.waiting.empty()) continue;
-    const int own = this->order.priority_across_workspaces
-                        ? line.waiting.front().priority
-                        : 0;
-    const bool first =
-        best == this->lines.end() || own > urgency ||
-        (own == urgency && line.start_tag < best->second.start_tag);
+  auto best = this->workspace_queues.end();
+  int best_priority = 0;
+  for (auto it = this->workspace_queues.begin();
+       it != this->workspace_queues.end(); ++it) {
+    const workspace_queue& queue = it->second;
+    if (queue.waiting.empty()) continue;
+    const int own_priority = this->policy.priority_across_workspaces
+                                 ? queue.waiting.front().priority
+                                 : 0;
+    const bool first = best == this->workspace_queues.end() ||
+                       own_priority > best_priority ||
+                       (own_priority == best_priority &&
+                        queue.start_tag < best->second.start_tag);
     if (!first) continue;
     best = it;
-    urgency = own;
+    best_priority = own_priority;
   }
-  if (best == this->lines.end()) return std::nullopt;
-  return position{best->first, first_in_line(best->second, nullptr)};
+  if (best == this->workspace_queues.end()) return std::nullopt;
+  return position{best->first, first_index(best->second, nullptr)};
 }
 
 std::optional<fair_queue::position> fair_queue::next_by_starvation_guard()
     const {
   std::optional<position> best;
-  uint64_t longest = 0;
-  for (const auto& [workspace, line] : this->lines) {
-    for (const queued_request& request : line.waiting) {
+  uint64_t max_turns_waited = 0;
+  for (const auto& [workspace, queue] : this->workspace_queues) {
+    for (const queued_request& request : queue.waiting) {
       const auto last = this->last_turn.find({request.kind, workspace});
-      const uint64_t since =
-          this->turns - (last == this->last_turn.end() ? 0 : last->second) + 1;
-      if (since <= longest) continue;
-      longest = since;
-      best = position{workspace, first_in_line(line, &request.kind)};
+      const uint64_t turns_waited =
+          this->turns_taken -
+          (last == this->last_turn.end() ? 0 : last->second) + 1;
+      if (turns_waited <= max_turns_waited) continue;
+      max_turns_waited = turns_waited;
+      best = position{workspace, first_index(queue, &request.kind)};
     }
   }
   return best;
 }
 
-std::optional<fair_queue::position> fair_queue::turn() const {
-  const int every = this->order.starvation_guard_interval;
-  const bool floor = every > 0 && this->turns % every == every - 1U;
-  return floor ? this->next_by_starvation_guard() : this->next_by_share();
+std::optional<fair_queue::position> fair_queue::next_position() const {
+  const int interval = this->policy.starvation_guard_interval;
+  const bool guard_turn =
+      interval > 0 && this->turns_taken % interval == interval - 1U;
+  return guard_turn ? this->next_by_starvation_guard() : this->next_by_share();
 }
 
 const queued_request* fair_queue::front() const {
-  const auto next = this->turn();
+  const auto next = this->next_position();
   if (!next) return nullptr;
-  return &this->lines.at(next->workspace).waiting[next->at];
+  return &this->workspace_queues.at(next->workspace).waiting[next->index];
 }
 
-void fair_queue::advance(double served) {
+void fair_queue::advance(double served_tag) {
   // A request that went first for a reason other than its workspace's share
   // must not advance the virtual time past the other workspaces.
-  double least = served;
-  for (const auto& [workspace, line] : this->lines) {
-    if (!line.waiting.empty()) least = std::min(least, line.start_tag);
+  double min_tag = served_tag;
+  for (const auto& [workspace, queue] : this->workspace_queues) {
+    if (!queue.waiting.empty()) min_tag = std::min(min_tag, queue.start_tag);
   }
-  this->virtual_time = std::max(this->virtual_time, least);
+  this->virtual_time = std::max(this->virtual_time, min_tag);
 }
 
 std::optional<queued_request> fair_queue::pop() {
-  const auto next = this->turn();
+  const auto next = this->next_position();
   if (!next) return std::nullopt;
-  auto& line = this->lines[next->workspace];
-  const auto at = line.waiting.begin() + static_cast<ptrdiff_t>(next->at);
+  auto& queue = this->workspace_queues[next->workspace];
+  const auto at = queue.waiting.begin() + static_cast<ptrdiff_t>(next->index);
   queued_request request = std::move(*at);
-  line.waiting.erase(at);
+  queue.waiting.erase(at);
   this->count--;
-  this->advance(line.start_tag);
+  this->advance(queue.start_tag);
   const double cost = request.cost / std::max(request.weight, 1);
-  line.start_tag += cost;
-  double& tag = line.callers[request.caller];
-  line.caller_time = std::max(line.caller_time, tag);
+  queue.start_tag += cost;
+  double& tag = queue.callers[request.caller];
+  queue.caller_virtual_time = std::max(queue.caller_virtual_time, tag);
   tag += cost;
-  this->turns++;
-  if (this->order.starvation_guard_interval > 0) {
-    this->last_turn[{request.kind, request.workspace}] = this->turns;
+  this->turns_taken++;
+  if (this->policy.starvation_guard_interval > 0) {
+    this->last_turn[{request.kind, request.workspace}] = this->turns_taken;
   }
   return request;
 }
 
 bool fair_queue::remove(uint64_t id) {
-  for (auto& [name, line] : this->lines) {
-    const auto gone = std::erase_if(
-        line.waiting, [id](const auto& waiting) { return waiting.id == id; });
-    this->count -= gone;
-    if (gone > 0) return true;
+  for (auto& [name, queue] : this->workspace_queues) {
+    const auto removed = std::erase_if(
+        queue.waiting, [id](const auto& waiting) { return waiting.id == id; });
+    this->count -= removed;
+    if (removed > 0) return true;
   }
   return false;
 }
 
 std::vector<queued_request> fair_queue::expire(absl::Time now) {
   std::vector<queued_request> expired;
-  for (auto& [name, line] : this->lines) {
-    std::erase_if(line.waiting, [&](const auto& waiting) {
+  for (auto& [name, queue] : this->workspace_queues) {
+    std::erase_if(queue.waiting, [&](const auto& waiting) {
       if (waiting.deadline > now) return false;
       expired.push_back(waiting);
       return true;
--- a/src/backoff.cc
+++ b/src/backoff.cc
@@ -7,16 +7,16 @@
 namespace {
 
 /// Smallest factor on a delay, and the width of the random part added to it.
-constexpr double least_share = 0.75;
-constexpr double drawn_share = 0.5;
+constexpr double min_factor = 0.75;
+constexpr double jitter_width = 0.5;
 
 }  // namespace
 
 absl::Duration backoff::next(random_stream& random) {
-  const absl::Duration pause =
-      this->current * (least_share + drawn_share * random.unit());
+  const absl::Duration delay =
+      this->current * (min_factor + jitter_width * random.unit());
   this->current = std::min(this->longest, 2 * this->current);
-  return pause;
+  return delay;
 }
 
 void backoff::set_bounds(absl::Duration new_first, absl::Duration new_longest) {
--- a/src/byte-budget.cc
+++ b/src/byte-budget.cc
@@ -5,7 +5,7 @@
 namespace {
 
 /// Fraction of the budget up to which new requests are accepted.
-constexpr double request_share = 0.6;
+constexpr double new_request_fraction = 0.6;
 
 }  // namespace
 
@@ -17,12 +17,12 @@
 bool byte_budget::may_grow(uint64_t answer) const {
   const bool oldest =
       !this->answers.empty() && *this->answers.begin() == answer;
-  return this->limit == 0 || this->byte_charge < this->limit || oldest;
+  return this->limit == 0 || this->used_bytes < this->limit || oldest;
 }
 
 bool byte_budget::accepts_requests() const {
-  const auto most = request_share * static_cast<double>(this->limit);
-  return this->limit == 0 || static_cast<double>(this->byte_charge) < most;
+  const auto bound = new_request_fraction * static_cast<double>(this->limit);
+  return this->limit == 0 || static_cast<double>(this->used_bytes) < bound;
 }
 
 void byte_charge::set(size_t bytes) {
--- a/src/call.cc
+++ b/src/call.cc
@@ -8,33 +8,33 @@
 using json = nlohmann::json;
 
 /// Largest plain answer that is held, in bytes.
-constexpr size_t largest_plain = 16 << 20;
+constexpr size_t max_plain_bytes = 16 << 20;
 
 /// Number of unsent stream bytes beyond which the attempt waits for the caller.
-constexpr size_t outgoing_limit = 256 << 10;
+constexpr size_t max_outgoing_bytes = 256 << 10;
 
 /// A caller that reads nothing for this long is abandoned.
-constexpr absl::Duration slow_caller_limit = absl::Seconds(20);
+constexpr absl::Duration slow_caller_timeout = absl::Seconds(20);
 
 constexpr char end_of_stream[] = "[DONE]";
 
 }  // namespace
 
-void call::resume_from(const partial_response& had) {
+void call::resume_from(const partial_response& received) {
   absl::MutexLock lock(&this->mutex);
-  this->partial = had;
+  this->partial = received;
 }
 
 void call::begin(const std::string& attempt) {
   absl::MutexLock lock(&this->mutex);
-  this->current = attempt;
-  this->end_mark = false;
-  this->plain.clear();
+  this->current_attempt = attempt;
+  this->end_mark_received = false;
+  this->plain_content.clear();
 }
 
 bool call::head(const std::string& attempt, const exchange_head& head) {
   absl::MutexLock lock(&this->mutex);
-  if (attempt != this->current || this->end) return false;
+  if (attempt != this->current_attempt || this->final_outcome) return false;
   const bool stream = head.content_type.rfind("text/event-stream", 0) == 0;
   // An answer that began as a stream cannot continue as a plain one.
   if (this->partial.tokens > 0 && !stream) return false;
@@ -46,27 +46,28 @@
 bool call::append_plain(const std::string& attempt, const char* data,
                         size_t size) {
   absl::MutexLock lock(&this->mutex);
-  if (attempt != this->current || this->end) return false;
-  if (this->plain.size() + size > largest_plain) return false;
-  this->plain.append(data, size);
+  if (attempt != this->current_attempt || this->final_outcome) return false;
+  if (this->plain_content.size() + size > max_plain_bytes) return false;
+  this->plain_content.append(data, size);
   return true;
 }
 
 bool call::append_event(const std::string& attempt, const std::string& data) {
   absl::MutexLock lock(&this->mutex);
   const auto ready = [this]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(this->mutex) {
-    return this->outgoing.size() < outgoing_limit || this->end.has_value();
+    return this->outgoing.size() < max_outgoing_bytes ||
+           this->final_outcome.has_value();
   };
   if (!this->mutex.AwaitWithTimeout(absl::Condition(&ready),
-                                    slow_caller_limit)) {
+                                    slow_caller_timeout)) {
     return false;
   }
-  if (attempt != this->current || this->end) return false;
+  if (attempt != this->current_attempt || this->final_outcome) return false;
   if (data == end_of_stream) {
-    this->end_mark = true;
+    this->end_mark_received = true;
     return true;
   }
-  if (this->end_mark) return false;
+  if (this->end_mark_received) return false;
   const json j = json::parse(data, nullptr, false);
   if (!j.is_object() || !j.contains("choices") || j["choices"].empty()) {
     return false;
@@ -83,20 +84,21 @@
     this->partial.tokens++;
     this->partial.text += text;
   }
-  this->any = true;
+  this->any_received = true;
   if (this->streamed) this->outgoing += sse_event(data);
   return true;
 }
 
 bool call::complete(const std::string& attempt) const {
   absl::MutexLock lock(&this->mutex);
-  return attempt == this->current && (!this->event_stream || this->end_mark);
+  return attempt == this->current_attempt &&
+         (!this->event_stream || this->end_mark_received);
 }
 
 void call::finish(const outcome& result) {
   absl::MutexLock lock(&this->mutex);
-  this->end = result;
-  this->current.clear();
+  this->final_outcome = result;
+  this->current_attempt.clear();
 }
 
 partial_response call::received_so_far() const {
@@ -105,13 +107,13 @@
 }
 
 bool call::pending() const {
-  return !this->outgoing.empty() || this->end.has_value();
+  return !this->outgoing.empty() || this->final_outcome.has_value();
 }
 
 std::optional<outcome> call::wait_for_output() {
   absl::MutexLock lock(&this->mutex);
   this->mutex.Await(absl::Condition(this, &call::pending));
-  return this->outgoing.empty() ? this->end : std::nullopt;
+  return this->outgoing.empty() ? this->final_outcome : std::nullopt;
 }
 
 std::string call::take(absl::Duration limit, bool& ended) {
@@ -119,13 +121,13 @@
   this->mutex.AwaitWithTimeout(absl::Condition(this, &call::pending), limit);
   std::string out;
   out.swap(this->outgoing);
-  ended = this->end.has_value();
+  ended = this->final_outcome.has_value();
   return out;
 }
 
 std::optional<outcome> call::result() const {
   absl::MutexLock lock(&this->mutex);
-  return this->end;
+  return this->final_outcome;
 }
 
 exchange_head call::answer_head() const {
@@ -135,7 +137,7 @@
 
 std::string call::plain_body() const {
   absl::MutexLock lock(&this->mutex);
-  return this->plain;
+  return this->plain_content;
 }
 
 std::string call::finish_reason() const {
@@ -145,7 +147,7 @@
 
 bool call::begun() const {
   absl::MutexLock lock(&this->mutex);
-  return this->any;
+  return this->any_received;
 }
 
 }  // namespace spokesail
--- a/src/call.h
+++ b/src/call.h
@@ -42,7 +42,7 @@
 
   /// Sets the part of the answer that the caller already has from an earlier
   /// request.
-  void resume_from(const partial_response& had);
+  void resume_from(const partial_response& received);
 
   /// Makes `attempt` the current one.
   void begin(const std::string& attempt);
@@ -89,16 +89,16 @@
   bool pending() const ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
 
   mutable absl::Mutex mutex;
-  std::string current ABSL_GUARDED_BY(mutex);
+  std::string current_attempt ABSL_GUARDED_BY(mutex);
   exchange_head received_head ABSL_GUARDED_BY(mutex);
   bool event_stream ABSL_GUARDED_BY(mutex) = false;
-  bool end_mark ABSL_GUARDED_BY(mutex) = false;
-  std::string plain ABSL_GUARDED_BY(mutex);
+  bool end_mark_received ABSL_GUARDED_BY(mutex) = false;
+  std::string plain_content ABSL_GUARDED_BY(mutex);
   std::string outgoing ABSL_GUARDED_BY(mutex);
   partial_response partial ABSL_GUARDED_BY(mutex);
   std::string stop_reason ABSL_GUARDED_BY(mutex);
-  std::optional<outcome> end ABSL_GUARDED_BY(mutex);
-  bool any ABSL_GUARDED_BY(mutex) = false;
+  std::optional<outcome> final_outcome ABSL_GUARDED_BY(mutex);
+  bool any_received ABSL_GUARDED_BY(mutex) = false;
 };
 
 }  // namespace spokesail
--- a/src/engine-model.cc
+++ b/src/engine-model.cc
@@ -8,11 +8,11 @@
 namespace {
 
 /// Mean context of a running request, as a fraction of its prompt plus answer.
-constexpr double mean_context_share = 0.75;
+constexpr double mean_context_fraction = 0.75;
 
 /// Predictions that differ by less than this, in ms, count as equal: the known
 /// load of the other entry hosts lags.
-constexpr double alike_ms = 10;
+constexpr double tie_margin_ms = 10;
 
 /// Passes until a first event, in addition to reading the prompt: half of the
 /// pass running when the request arrives, and the one that writes the event.
@@ -23,7 +23,7 @@
 constexpr double gap_weight = 0.1;
 
 /// Mean size of a service's requests, before any were seen.
-request_size usual_size(const engine_profile& engine) {
+request_size mean_request_size(const engine_profile& engine) {
   return {engine.mean_prompt_tokens, engine.mean_answer_tokens};
 }
 
@@ -32,7 +32,7 @@
 double step_ms(const engine_profile& engine, double requests,
                const request_size& mean) {
   const double context =
-      requests * mean_context_share * (mean.prompt + mean.answer) / 1000;
+      requests * mean_context_fraction * (mean.prompt + mean.answer) / 1000;
   return engine.step_ms + engine.step_ms_per_request * requests +
          engine.step_ms_per_1k_context * context;
 }
@@ -40,19 +40,20 @@
 double predict_first_event_ms(const engine_profile& engine,
                               const model_profile& model,
                               const group_option& option, double prompt) {
-  const double read =
+  const double prefill_ms =
       (option.pending_prefill_tokens + prompt) / engine.prefill_tokens_per_ms;
   const double steps =
       engine.decode_steps_per_pass *
-      step_ms(engine, option.running + 1.0, usual_size(engine));
-  return model.pace * option.slowness * (read + passes_to_first_event * steps);
+      step_ms(engine, option.running + 1.0, mean_request_size(engine));
+  return model.pace * option.slowness *
+         (prefill_ms + passes_to_first_event * steps);
 }
 
 double predict_event_gap_ms(const engine_profile& engine,
                             const model_profile& model,
                             const group_option& option, int more) {
   return model.pace * option.slowness * engine.decode_steps_per_pass *
-         step_ms(engine, option.running + more, usual_size(engine));
+         step_ms(engine, option.running + more, mean_request_size(engine));
 }
 
 std::optional<size_t> choose_group(const engine_profile& engine,
@@ -61,7 +62,7 @@
                                    const request_size& size,
                                    random_stream& random) {
   std::vector<double> costs;
-  double least = std::numeric_limits<double>::infinity();
+  double min_cost = std::numeric_limits<double>::infinity();
   for (const auto& option : options) {
     double cost = std::numeric_limits<double>::infinity();
     if (option.running < engine.slots) {
@@ -74,14 +75,14 @@
           gap_weight * events * predict_event_gap_ms(engine, model, option, 1);
     }
     costs.push_back(cost);
-    least = std::min(least, cost);
+    min_cost = std::min(min_cost, cost);
   }
-  if (least == std::numeric_limits<double>::infinity()) return std::nullopt;
-  std::vector<size_t> alike;
+  if (min_cost == std::numeric_limits<double>::infinity()) return std::nullopt;
+  std::vector<size_t> candidates;
   for (size_t i = 0; i < costs.size(); ++i) {
-    if (costs[i] <= least + alike_ms) alike.push_back(i);
+    if (costs[i] <= min_cost + tie_margin_ms) candidates.push_back(i);
   }
-  return alike[random.below(alike.size())];
+  return candidates[random.below(candidates.size())];
 }
 
 }  // namespace spokesail
--- a/src/event-splitter.cc
+++ b/src/event-splitter.cc
@@ -35,19 +35,19 @@
 std::optional<event_batch> event_splitter::feed(std::string_view bytes) {
   this->pending.append(bytes);
   event_batch out;
-  size_t done = 0;
+  size_t consumed = 0;
   for (;;) {
-    const size_t end = event_end(this->pending, done);
+    const size_t end = event_end(this->pending, consumed);
     if (end == absl::string_view::npos) break;
-    const int64_t id =
-        event_id(absl::string_view(this->pending).substr(done, end - done));
+    const int64_t id = event_id(
+        absl::string_view(this->pending).substr(consumed, end - consumed));
     if (id >= 0) out.last_id = id;
     out.events++;
-    done = end;
+    consumed = end;
   }
-  out.bytes = this->pending.substr(0, done);
-  this->pending.erase(0, done);
-  if (this->pending.size() > largest_event) return std::nullopt;
+  out.bytes = this->pending.substr(0, consumed);
+  this->pending.erase(0, consumed);
+  if (this->pending.size() > max_event_bytes) return std::nullopt;
   return out;
 }
 
--- a/src/event-splitter.h
+++ b/src/event-splitter.h
@@ -23,14 +23,14 @@
 class event_splitter {
  public:
   /// Largest event that is held back, in bytes.
-  static constexpr size_t largest_event = 1 << 20;
+  static constexpr size_t max_event_bytes = 1 << 20;
 
   /// Adds bytes and returns the events that are now complete. Returns nothing
   /// if an event is too large.
   std::optional<event_batch> feed(std::string_view bytes);
 
   /// Bytes of the incomplete event.
-  const std::string& rest() const { return this->pending; }
+  const std::string& remainder() const { return this->pending; }
 
  private:
   std::string pending;
--- a/src/exchange.cc
+++ b/src/exchange.cc
@@ -15,19 +15,19 @@
 using detail::use_tuple;
 
 /// Largest response head, in bytes.
-constexpr uint32_t largest_head = 64 << 10;
+constexpr uint32_t max_head_bytes = 64 << 10;
 
 /// A kept connection is not used in this last part of the server's keep-alive
 /// time, since the server may be closing it already.
-constexpr absl::Duration keep_margin = absl::Milliseconds(700);
+constexpr absl::Duration keep_alive_margin = absl::Milliseconds(700);
 
 /// How long a connection is kept if the server gives no keep-alive time.
-constexpr absl::Duration default_keep = absl::Seconds(2);
+constexpr absl::Duration default_keep_alive = absl::Seconds(2);
 
 /// A connection takes a few round trips. If it takes longer than this, the
 /// server is down or its accept queue is full. Short enough for another server
 /// to respond in time.
-constexpr absl::Duration connect_limit = absl::Milliseconds(80);
+constexpr absl::Duration connect_timeout = absl::Milliseconds(80);
 
 }  // namespace
 
@@ -84,10 +84,11 @@
       co_return "";
     }
   }
-  const absl::Time whole = this->limit;
-  this->limit = std::min(whole, this->node.now() + connect_limit);
+  const absl::Time attempt_deadline = this->deadline;
+  this->deadline =
+      std::min(attempt_deadline, this->node.now() + connect_timeout);
   const auto error = co_await connect_to(this->socket, this->endpoint.address);
-  this->limit = whole;
+  this->deadline = attempt_deadline;
   co_return error ? error.message() : std::string();
 }
 
@@ -100,7 +101,7 @@
 
 net::awaitable<std::string> exchange::read_head(bool no_body) {
   this->parser.emplace();
-  this->parser->header_limit(largest_head);
+  this->parser->header_limit(max_head_bytes);
   this->parser->body_limit(boost::none);
   this->parser->eager(true);
   this->parser->skip(no_body);
@@ -125,17 +126,18 @@
   co_return error ? error.message() : std::string();
 }
 
-void exchange::keep(const answer_head& answer) {
+void exchange::keep_connection(const answer_head& answer) {
   // Surplus bytes belong to no request.
   if (!this->parser->is_done() || !this->parser->keep_alive() ||
       this->buffer.size() != 0 || this->aborted != abort_cause::none) {
     return;
   }
-  const absl::Duration time =
-      answer.keep_alive ? *answer.keep_alive - keep_margin : default_keep;
+  const absl::Duration time = answer.keep_alive
+                                  ? *answer.keep_alive - keep_alive_margin
+                                  : default_keep_alive;
   if (time <= absl::ZeroDuration()) return;
-  this->node.pool.keep(this->endpoint.server, std::move(this->socket),
-                       this->node.now() + std::min(time, default_keep));
+  this->node.pool.put(this->endpoint.server, std::move(this->socket),
+                      this->node.now() + std::min(time, default_keep_alive));
 }
 
 }  // namespace spokesail
--- a/src/exchange.h
+++ b/src/exchange.h
@@ -80,7 +80,7 @@
   bool body_done() const { return this->parser->is_done(); }
 
   /// Returns the connection to the pool if it can serve another request.
-  void keep(const answer_head& answer);
+  void keep_connection(const answer_head& answer);
 
   /// Aborts the exchange; the first cause is kept.
   void abort(abort_cause cause);
@@ -100,11 +100,11 @@
   /// Whether a response head was received.
   bool head_received = false;
   /// Whether its server ended it prematurely, by a break or by silence.
-  bool lost = false;
+  bool server_lost = false;
   /// A member of its group that did not respond; empty if none was found.
   std::string unresponsive_member;
   /// When it is aborted regardless of its state.
-  absl::Time limit = absl::InfiniteFuture();
+  absl::Time deadline = absl::InfiniteFuture();
   /// Whether it waits for the caller rather than for the server.
   bool waiting_for_caller = false;
   /// Whether the caller has just read nothing for a while.
--- a/src/load-table.cc
+++ b/src/load-table.cc
@@ -7,28 +7,28 @@
 namespace spokesail {
 
 void load_table::begin(const std::string& endpoint, double prompt_tokens) {
-  this->begun_count++;
-  endpoint_load& load = this->mine[endpoint];
+  this->started_count++;
+  endpoint_load& load = this->own_sums[endpoint];
   load.endpoint = endpoint;
   load.running++;
   load.pending_prefill_tokens += prompt_tokens;
 }
 
 void load_table::read(const std::string& endpoint, double prompt_tokens) {
-  const auto found = this->mine.find(endpoint);
-  if (found == this->mine.end()) return;
+  const auto found = this->own_sums.find(endpoint);
+  if (found == this->own_sums.end()) return;
   found->second.pending_prefill_tokens =
       std::max(0.0, found->second.pending_prefill_tokens - prompt_tokens);
 }
 
 void load_table::end(const std::string& endpoint) {
-  const auto found = this->mine.find(endpoint);
-  if (found == this->mine.end()) return;
-  if (--found->second.running <= 0) this->mine.erase(found);
+  const auto found = this->own_sums.find(endpoint);
+  if (found == this->own_sums.end()) return;
+  if (--found->second.running <= 0) this->own_sums.erase(found);
 }
 
-void load_table::count(const peer_load& peer, int sign) {
-  sums& into = peer.far ? this->remote_sums : this->local_sums;
+void load_table::add_scaled(const peer_load& peer, int sign) {
+  sums& into = peer.remote ? this->remote_sums : this->local_sums;
   for (const auto& load : peer.places) {
     endpoint_load& sum = into[load.endpoint];
     sum.endpoint = load.endpoint;
@@ -41,35 +41,35 @@
 
 void load_table::update_peer(const std::string& peer,
                              std::vector<endpoint_load> loads, absl::Time now,
-                             bool far) {
+                             bool remote) {
   // An endpoint without requests has no unread prompts either.
   std::erase_if(loads, [](const auto& load) { return load.running <= 0; });
   this->remove_peer(peer);
   peer_load& entry = this->peers[peer];
-  entry = {std::move(loads), now, far};
-  this->count(entry, 1);
-  this->oldest = std::min(this->oldest, now);
+  entry = {std::move(loads), now, remote};
+  this->add_scaled(entry, 1);
+  this->oldest_report = std::min(this->oldest_report, now);
 }
 
 void load_table::remove_peer(const std::string& peer) {
   const auto found = this->peers.find(peer);
   if (found == this->peers.end()) return;
-  this->count(found->second, -1);
+  this->add_scaled(found->second, -1);
   this->peers.erase(found);
 }
 
 void load_table::expire(absl::Time now) {
-  if (now - this->oldest <= peer_timeout) return;
-  std::vector<std::string> old;
-  this->oldest = absl::InfiniteFuture();
+  if (now - this->oldest_report <= peer_timeout) return;
+  std::vector<std::string> expired;
+  this->oldest_report = absl::InfiniteFuture();
   for (const auto& [name, peer] : this->peers) {
     if (now - peer.at > peer_timeout) {
-      old.push_back(name);
+      expired.push_back(name);
     } else {
-      this->oldest = std::min(this->oldest, peer.at);
+      this->oldest_report = std::min(this->oldest_report, peer.at);
     }
   }
-  for (const auto& name : old) this->remove_peer(name);
+  for (const auto& name : expired) this->remove_peer(name);
 }
 
 endpoint_load load_table::total(const std::string& endpoint, absl::Time now) {
@@ -77,7 +77,7 @@
   endpoint_load sum;
   sum.endpoint = endpoint;
   for (const sums* part :
-       {&this->mine, &this->local_sums, &this->remote_sums}) {
+       {&this->own_sums, &this->local_sums, &this->remote_sums}) {
     const auto found = part->find(endpoint);
     if (found == part->end()) continue;
     sum.running += found->second.running;
@@ -86,7 +86,7 @@
   return sum;
 }
 
-std::vector<endpoint_load> load_table::hall_sum(bool far, absl::Time now) {
+std::vector<endpoint_load> load_table::hall_sum(bool remote, absl::Time now) {
   this->expire(now);
   std::map<std::string, endpoint_load> all;
   const auto add = [&](const sums& part) {
@@ -97,10 +97,10 @@
       sum.pending_prefill_tokens += load.pending_prefill_tokens;
     }
   };
-  if (far) {
+  if (remote) {
     add(this->remote_sums);
   } else {
-    add(this->mine);
+    add(this->own_sums);
     add(this->local_sums);
   }
   std::vector<endpoint_load> out;
@@ -111,7 +111,7 @@
 
 std::vector<endpoint_load> load_table::own() const {
   std::vector<endpoint_load> out;
-  for (const auto& [endpoint, load] : this->mine) out.push_back(load);
+  for (const auto& [endpoint, load] : this->own_sums) out.push_back(load);
   std::sort(out.begin(), out.end(), [](const auto& a, const auto& b) {
     return a.endpoint < b.endpoint;
   });
@@ -119,8 +119,8 @@
 }
 
 int load_table::own_running(const std::string& endpoint) const {
-  const auto found = this->mine.find(endpoint);
-  return found == this->mine.end() ? 0 : found->second.running;
+  const auto found = this->own_sums.find(endpoint);
+  return found == this->own_sums.end() ? 0 : found->second.running;
 }
 
 }  // namespace spokesail
--- a/src/prediction-error.cc
+++ b/src/prediction-error.cc
@@ -6,16 +6,16 @@
 
 namespace spokesail {
 
-void prediction_error::add_sample(double predicted_ms, double taken_ms,
+void prediction_error::add_sample(double predicted_ms, double actual_ms,
                                   absl::Time now) {
-  this->samples.push_back({now, taken_ms - predicted_ms});
+  this->samples.push_back({now, actual_ms - predicted_ms});
   if (this->samples.size() > max_samples) this->samples.pop_front();
 }
 
 double prediction_error::expected_ms(absl::Time now) const {
   std::vector<double> errors;
   for (const auto& sample : this->samples) {
-    if (now - sample.at <= memory) errors.push_back(sample.error_ms);
+    if (now - sample.at <= max_sample_age) errors.push_back(sample.error_ms);
   }
   if (errors.size() < min_samples) return 0;
   const auto middle =
--- a/src/request-admission.cc
+++ b/src/request-admission.cc
@@ -10,55 +10,55 @@
 namespace spokesail {
 namespace {
 
-constexpr double no_end = std::numeric_limits<double>::infinity();
+constexpr double infinite = std::numeric_limits<double>::infinity();
 
 /// Lowest rank of requests; 0 is the highest.
 constexpr int lowest_rank = 9;
 
 /// Time constant of the exponentially weighted event rates.
-constexpr absl::Duration rate_memory = absl::Seconds(1);
+constexpr absl::Duration rate_time_constant = absl::Seconds(1);
 
 /// Every so many turns, one goes to the kind and workspace that has waited
 /// longest, so that low ranks do not starve.
 constexpr int starvation_guard_interval = 5;
 
 /// Value of a late answer relative to one in time.
-constexpr double late_worth = 0.25;
+constexpr double late_value = 0.25;
 
 /// Half-width of the distribution of first events around their prediction,
 /// relative to the mean goal.
-constexpr double spread_share = 0.2;
+constexpr double first_event_spread = 0.2;
 
 /// Weight of one request in the moving average of the goal.
 constexpr double goal_weight = 0.125;
 
 /// Largest retry delay, as a fraction of the caller's remaining time. Callers
 /// do not wait for longer delays.
-constexpr double heeded_share = 1.0 / 3;
+constexpr double max_retry_delay_fraction = 1.0 / 3;
 
 /// Tolerance for callers that return earlier than told.
-constexpr absl::Duration return_slack = absl::Milliseconds(20);
+constexpr absl::Duration early_return_tolerance = absl::Milliseconds(20);
 
 /// Maximum number of refused callers that are remembered.
-constexpr size_t most_returns = 1024;
+constexpr size_t max_retry_times = 1024;
 
 /// Free slots are ample if they exceed by this factor what other nodes may have
 /// taken since the load was reported.
-constexpr double ample_room = 4;
+constexpr double ample_slot_factor = 4;
 
 /// Fraction of the known free slots that all nodes together may take until they
 /// learn of each other's requests. The rest covers slots taken just before,
 /// which are not known either.
-constexpr double taken_share = 0.5;
+constexpr double unseen_slot_fraction = 0.5;
 
 /// Minimum fraction of a group's prefill capacity that is taken to be left for
 /// working off its queue.
-constexpr double least_spare = 0.05;
+constexpr double min_spare_fraction = 0.05;
 
 double millis(absl::Duration time) { return absl::ToDoubleMilliseconds(time); }
 
 /// Time in which a group reads a prompt, in ms.
-double read_ms(const admission_view& view, double prompt) {
+double prefill_ms(const admission_view& view, double prompt) {
   return view.model.pace * prompt / view.engine.prefill_tokens_per_ms;
 }
 
@@ -74,7 +74,7 @@
 }
 
 /// The option after one more request has joined it.
-group_option joined(group_option option, double prompt) {
+group_option with_request(group_option option, double prompt) {
   option.running++;
   option.pending_prefill_tokens += prompt;
   return option;
@@ -84,24 +84,25 @@
 /// first event within `left_ms`.
 double slots_in_time(const admission_view& view, const group_option& option,
                      double prompt, double left_ms) {
-  const int free = view.engine.slots - option.running;
-  if (free <= 0) return 0;
-  const double first =
+  const int free_slots = view.engine.slots - option.running;
+  if (free_slots <= 0) return 0;
+  const double first_ms =
       predict_first_event_ms(view.engine, view.model, option, prompt);
-  if (first > left_ms) return 0;
-  const double second = predict_first_event_ms(view.engine, view.model,
-                                               joined(option, prompt), prompt);
-  const double each = std::max(second - first, 1e-3);
-  return std::min<double>(free, 1 + std::floor((left_ms - first) / each));
+  if (first_ms > left_ms) return 0;
+  const double second_ms = predict_first_event_ms(
+      view.engine, view.model, with_request(option, prompt), prompt);
+  const double added_ms = std::max(second_ms - first_ms, 1e-3);
+  return std::min<double>(free_slots,
+                          1 + std::floor((left_ms - first_ms) / added_ms));
 }
 
 }  // namespace
 
 /// Probability that a first event predicted after `first_ms` comes within
 /// `left_ms`.
-static double chance_in_time(double first_ms, double left_ms,
-                             double mean_goal_ms) {
-  const double spread = spread_share * mean_goal_ms;
+static double probability_in_time(double first_ms, double left_ms,
+                                  double mean_goal_ms) {
+  const double spread = first_event_spread * mean_goal_ms;
   return std::clamp(0.5 + (left_ms - first_ms) / (2 * spread), 0.0, 1.0);
 }
 
@@ -112,17 +113,19 @@
                                  const admission_view& view,
                                  const group_option& option, double error_ms,
                                  double group_rate, double mean_goal_ms) {
-  const double usual = view.engine.mean_prompt_tokens;
-  const group_option with = joined(option, request.size.prompt);
-  const double next =
-      error_ms + predict_first_event_ms(view.engine, view.model, with, usual);
-  const double spread = spread_share * mean_goal_ms;
-  if (next <= mean_goal_ms - spread) return 0;
-  const double busy = group_rate * read_ms(view, usual);
-  if (busy >= 1 - least_spare) return no_end;
-  const double others =
-      group_rate * read_ms(view, with.pending_prefill_tokens) / (1 - busy);
-  return others * read_ms(view, request.size.prompt) / (2 * spread);
+  const double mean_prompt = view.engine.mean_prompt_tokens;
+  const group_option loaded = with_request(option, request.size.prompt);
+  const double next_first_event_ms =
+      error_ms +
+      predict_first_event_ms(view.engine, view.model, loaded, mean_prompt);
+  const double spread = first_event_spread * mean_goal_ms;
+  if (next_first_event_ms <= mean_goal_ms - spread) return 0;
+  const double utilization = group_rate * prefill_ms(view, mean_prompt);
+  if (utilization >= 1 - min_spare_fraction) return infinite;
+  const double affected = group_rate *
+                          prefill_ms(view, loaded.pending_prefill_tokens) /
+                          (1 - utilization);
+  return affected * prefill_ms(view, request.size.prompt) / (2 * spread);
 }
 
 double engine_time_ms(const engine_profile& engine, const model_profile& model,
@@ -138,16 +141,16 @@
 /// The predicted chances of a request over all its options.
 struct request_admission::forecast {
   /// Slots in which requests like this one are in time, by option and in total.
-  std::vector<double> places;
+  std::vector<double> slots_by_option;
   double timely_slots = 0;
   /// Free slots of all options, in time or not.
-  double free = 0;
+  double free_slots = 0;
   /// Shortest predicted time, error included, over options with a free slot.
-  double best_ms = no_end;
+  double best_ms = infinite;
   /// Time until a slot of a full option becomes free.
-  double freed_ms = no_end;
+  double slot_free_ms = infinite;
   /// Shortest time to the first event over full options, waiting included.
-  double full_ms = no_end;
+  double full_option_ms = infinite;
   double error_ms = 0;
   /// Time left until the request is late.
   double left_ms = 0;
@@ -159,14 +162,15 @@
     : queue(queue_policy{true, starvation_guard_interval}) {}
 
 void request_admission::event_rate::add(absl::Time now) {
-  this->rate = this->at(now) + 1 / absl::ToDoubleSeconds(rate_memory);
+  this->rate = this->at(now) + 1 / absl::ToDoubleSeconds(rate_time_constant);
   this->last = now;
 }
 
 double request_admission::event_rate::at(absl::Time now) const {
   if (this->last == absl::InfinitePast()) return 0;
-  const double past = absl::FDivDuration(now - this->last, rate_memory);
-  return this->rate * std::exp(-std::max(past, 0.0));
+  const double periods =
+      absl::FDivDuration(now - this->last, rate_time_constant);
+  return this->rate * std::exp(-std::max(periods, 0.0));
 }
 
 bool request_admission::enqueue(const admission_request& request,
@@ -186,7 +190,7 @@
   entry.caller = request.caller;
   entry.kind = request.kind;
   if (!pool.queue.push(entry, this->limits.entries)) return false;
-  pool.entered[request.id] = request.bytes;
+  pool.queued_bytes[request.id] = request.bytes;
   this->bytes += request.bytes;
   return true;
 }
@@ -194,33 +198,33 @@
 void request_admission::dequeue(const admission_request& request) {
   const auto pool = this->pools.find(request.pool);
   if (pool == this->pools.end()) return;
-  const auto entry = pool->second.entered.find(request.id);
-  if (entry == pool->second.entered.end()) return;
+  const auto entry = pool->second.queued_bytes.find(request.id);
+  if (entry == pool->second.queued_bytes.end()) return;
   pool->second.queue.remove(request.id);
   this->bytes -= entry->second;
-  pool->second.entered.erase(entry);
+  pool->second.queued_bytes.erase(entry);
 }
 
 void request_admission::check_early_retry(const admission_request& request,
                                           absl::Time now) {
-  const auto told = this->retry_times.find(request.caller);
-  if (told == this->retry_times.end()) return;
+  const auto due_back = this->retry_times.find(request.caller);
+  if (due_back == this->retry_times.end()) return;
   // A caller that returns early is charged for it in its own turns.
-  if (now + return_slack < told->second) {
+  if (now + early_return_tolerance < due_back->second) {
     this->pools[request.pool].queue.charge(request.workspace, request.caller,
                                            request.cost_ms);
     return;
   }
-  this->retry_times.erase(told);
+  this->retry_times.erase(due_back);
 }
 
 void request_admission::store_retry_time(const admission_request& request,
                                          absl::Time at, absl::Time now) {
   this->retry_times[request.caller] = at;
-  if (this->retry_times.size() <= most_returns) return;
+  if (this->retry_times.size() <= max_retry_times) return;
   std::erase_if(this->retry_times,
                 [&](const auto& item) { return item.second <= now; });
-  if (this->retry_times.size() > most_returns) this->retry_times.clear();
+  if (this->retry_times.size() > max_retry_times) this->retry_times.clear();
 }
 
 request_admission::forecast request_admission::make_forecast(
@@ -229,13 +233,13 @@
   forecast out;
   out.error_ms = pool.error.expected_ms(now);
   out.left_ms = millis(request.due - now);
-  const double left = out.left_ms - out.error_ms;
+  const double adjusted_left_ms = out.left_ms - out.error_ms;
   for (const auto& option : view.options) {
-    const double places =
-        slots_in_time(view, option, request.size.prompt, left);
-    out.places.push_back(places);
-    out.timely_slots += places;
-    out.free += std::max(0, view.engine.slots - option.running);
+    const double timely =
+        slots_in_time(view, option, request.size.prompt, adjusted_left_ms);
+    out.slots_by_option.push_back(timely);
+    out.timely_slots += timely;
+    out.free_slots += std::max(0, view.engine.slots - option.running);
     if (option.running < view.engine.slots) {
       out.best_ms = std::min(
           out.best_ms,
@@ -243,70 +247,78 @@
                                                 request.size.prompt));
       continue;
     }
-    group_option after = option;
-    after.running = view.engine.slots - 1;
+    group_option after_release = option;
+    after_release.running = view.engine.slots - 1;
     const double ahead = option.running - view.engine.slots + 1;
-    const double freed = ahead *
-                         service_ms(view, request.size, view.engine.slots) /
-                         view.engine.slots;
-    out.freed_ms = std::min(out.freed_ms, freed);
-    const double first = predict_first_event_ms(view.engine, view.model, after,
-                                                request.size.prompt);
-    out.full_ms = std::min(out.full_ms, freed + first + out.error_ms);
+    const double freed_ms = ahead *
+                            service_ms(view, request.size, view.engine.slots) /
+                            view.engine.slots;
+    out.slot_free_ms = std::min(out.slot_free_ms, freed_ms);
+    const double first_event_ms = predict_first_event_ms(
+        view.engine, view.model, after_release, request.size.prompt);
+    out.full_option_ms =
+        std::min(out.full_option_ms, freed_ms + first_event_ms + out.error_ms);
   }
   out.group_rate =
       view.nodes * pool.sent.at(now) / std::max<size_t>(view.groups, 1) / 1000;
   return out;
 }
 
-bool request_admission::claim_share(const forecast& seen,
+bool request_admission::claim_share(const forecast& prediction,
                                     const admission_view& view,
                                     pool_state& pool, absl::Time now,
                                     random_stream& random) {
-  if (now < pool.next_draw) return false;
+  if (now < pool.next_draw_at) return false;
   // Other nodes decide on the same reported load at the same moment, so each
   // takes a random share of the free slots rather than all the same one.
   pool.draw_rate.add(now);
-  const double weighed = static_cast<double>(view.options.size()) /
-                         static_cast<double>(std::max<size_t>(view.groups, 1));
+  const double option_fraction =
+      static_cast<double>(view.options.size()) /
+      static_cast<double>(std::max<size_t>(view.groups, 1));
   // If slots are so scarce that this node has just missed one, the other nodes
   // have requests waiting too.
-  const bool missed = now - pool.next_draw < view.load_age;
-  const double each =
+  const bool missed = now - pool.next_draw_at < view.load_age;
+  const double own_draws =
       pool.draw_rate.at(now) * absl::ToDoubleSeconds(view.load_age);
-  const double others =
-      view.nodes * weighed * (missed ? std::max(1.0, each) : each);
-  if (random.unit() * others < taken_share * seen.free) return true;
-  pool.next_draw = now + view.load_age;
+  const double all_draws = view.nodes * option_fraction *
+                           (missed ? std::max(1.0, own_draws) : own_draws);
+  if (random.unit() * all_draws < unseen_slot_fraction * prediction.free_slots)
+    return true;
+  pool.next_draw_at = now + view.load_age;
   return false;
 }
 
-admission_decision request_admission::send_in_time(
-    const forecast& seen, const admission_view& view, const request_size& size,
-    pool_state& pool, absl::Time now, random_stream& random) {
+admission_decision request_admission::decide_in_time(const forecast& prediction,
+                                                     const admission_view& view,
+                                                     const request_size& size,
+                                                     pool_state& pool,
+                                                     absl::Time now,
+                                                     random_stream& random) {
   admission_decision out;
-  out.error_ms = seen.error_ms;
-  out.timely_slots = seen.timely_slots;
-  if (!claim_share(seen, view, pool, now, random)) return out;
+  out.error_ms = prediction.error_ms;
+  out.timely_slots = prediction.timely_slots;
+  if (!claim_share(prediction, view, pool, now, random)) return out;
   out.action = admission_action::send;
-  const double unseen = view.nodes * pool.draw_rate.at(now) *
-                        static_cast<double>(view.options.size()) /
-                        static_cast<double>(std::max<size_t>(view.groups, 1)) *
-                        absl::ToDoubleSeconds(view.load_age);
-  if (seen.free >= ample_room * unseen) {
+  const double unseen_requests =
+      view.nodes * pool.draw_rate.at(now) *
+      static_cast<double>(view.options.size()) /
+      static_cast<double>(std::max<size_t>(view.groups, 1)) *
+      absl::ToDoubleSeconds(view.load_age);
+  if (prediction.free_slots >= ample_slot_factor * unseen_requests) {
     std::vector<group_option> timely = view.options;
     for (size_t i = 0; i < timely.size(); ++i) {
-      if (seen.places[i] <= 0) timely[i].running = view.engine.slots;
+      if (prediction.slots_by_option[i] <= 0)
+        timely[i].running = view.engine.slots;
     }
     out.option =
         choose_group(view.engine, view.model, timely, size, random).value_or(0);
     return out;
   }
-  double drawn = random.unit() * seen.timely_slots;
-  for (size_t i = 0; i < seen.places.size(); ++i) {
-    if (seen.places[i] <= 0) continue;
+  double drawn = random.unit() * prediction.timely_slots;
+  for (size_t i = 0; i < prediction.slots_by_option.size(); ++i) {
+    if (prediction.slots_by_option[i] <= 0) continue;
     out.option = i;
-    drawn -= seen.places[i];
+    drawn -= prediction.slots_by_option[i];
     if (drawn < 0) break;
   }
   return out;
@@ -314,27 +326,28 @@
 
 admission_decision request_admission::decide_late(
     const admission_request& request, const admission_view& view,
-    const pool_state& pool, const forecast& seen, absl::Time now) {
+    const pool_state& pool, const forecast& prediction, absl::Time now) {
   admission_decision out;
-  out.error_ms = seen.error_ms;
-  out.timely_slots = seen.timely_slots;
-  const double patience = millis(request.deadline - now);
-  double best = 0;
+  out.error_ms = prediction.error_ms;
+  out.timely_slots = prediction.timely_slots;
+  const double time_left_ms = millis(request.deadline - now);
+  double best_gain = 0;
   for (size_t i = 0; i < view.options.size(); ++i) {
     const group_option& option = view.options[i];
     if (option.running >= view.engine.slots) continue;
-    const double first =
-        seen.error_ms + predict_first_event_ms(view.engine, view.model, option,
-                                               request.size.prompt);
-    if (first > patience) continue;
-    const double chance =
-        chance_in_time(first, seen.left_ms, pool.mean_goal_ms);
-    const double gain = late_worth + (1 - late_worth) * chance;
-    const double left =
-        gain - requests_made_late(request, view, option, seen.error_ms,
-                                  seen.group_rate, pool.mean_goal_ms);
-    if (left <= best) continue;
-    best = left;
+    const double first_event_ms =
+        prediction.error_ms + predict_first_event_ms(view.engine, view.model,
+                                                     option,
+                                                     request.size.prompt);
+    if (first_event_ms > time_left_ms) continue;
+    const double chance = probability_in_time(
+        first_event_ms, prediction.left_ms, pool.mean_goal_ms);
+    const double gain = late_value + (1 - late_value) * chance;
+    const double net_gain =
+        gain - requests_made_late(request, view, option, prediction.error_ms,
+                                  prediction.group_rate, pool.mean_goal_ms);
+    if (net_gain <= best_gain) continue;
+    best_gain = net_gain;
     out.option = i;
     out.action = admission_action::send;
     out.late = true;
@@ -345,37 +358,42 @@
 void request_admission::refuse(const admission_request& request,
                                const admission_view& view, pool_state& pool,
                                const char* reason, absl::Time now,
-                               random_stream& random,
-                               admission_decision& answer) {
-  const forecast seen = make_forecast(request, view, pool, now);
+                               random_stream& random, admission_decision& out) {
+  const forecast prediction = make_forecast(request, view, pool, now);
   const double goal = millis(request.due - request.arrived);
-  const double usual = read_ms(view, view.engine.mean_prompt_tokens);
-  const double busy = std::min(seen.group_rate * usual, 1 - least_spare);
-  const double drained = std::max(0.0, seen.best_ms - goal) / (1 - busy);
-  const double expected = std::min(drained, seen.freed_ms);
+  const double mean_prefill_ms =
+      prefill_ms(view, view.engine.mean_prompt_tokens);
+  const double utilization =
+      std::min(prediction.group_rate * mean_prefill_ms, 1 - min_spare_fraction);
+  const double drain_ms =
+      std::max(0.0, prediction.best_ms - goal) / (1 - utilization);
+  const double expected_ms = std::min(drain_ms, prediction.slot_free_ms);
   // Interval at which slots become free over all nodes together.
-  const double held =
+  const double slot_interval_ms =
       service_ms(view, request.size, view.engine.slots) / view.engine.slots;
-  const double interval = view.nodes * std::max(usual, held) /
-                          static_cast<double>(std::max<size_t>(view.groups, 1));
-  const absl::Duration heeded =
-      heeded_share * std::max(request.deadline - now, absl::ZeroDuration());
-  const absl::Duration place = std::min(
-      heeded, absl::Milliseconds(expected == no_end ? interval : expected));
+  const double return_interval_ms =
+      view.nodes * std::max(mean_prefill_ms, slot_interval_ms) /
+      static_cast<double>(std::max<size_t>(view.groups, 1));
+  const absl::Duration max_delay =
+      max_retry_delay_fraction *
+      std::max(request.deadline - now, absl::ZeroDuration());
+  const absl::Duration delay = std::min(
+      max_delay, absl::Milliseconds(expected_ms == infinite ? return_interval_ms
+                                                            : expected_ms));
   const absl::Duration spacing =
-      std::min(absl::Milliseconds(interval), heeded / 2);
-  const absl::Time turn = std::max(now + place, pool.next_retry_at);
-  absl::Duration wait = turn - now + random.unit() * spacing;
+      std::min(absl::Milliseconds(return_interval_ms), max_delay / 2);
+  const absl::Time return_at = std::max(now + delay, pool.next_retry_at);
+  absl::Duration wait = return_at - now + random.unit() * spacing;
   // Beyond the largest delay the order cannot be kept, but returning callers
   // must still not coincide.
-  if (wait > heeded) wait = heeded - random.unit() * spacing;
-  pool.next_retry_at = std::min(turn + spacing, now + heeded);
-  answer.action = admission_action::refuse;
-  answer.reason = reason;
-  answer.error_ms = seen.error_ms;
-  answer.timely_slots = seen.timely_slots;
-  answer.expected_wait = turn - now;
-  answer.retry_after = std::max(wait, absl::Milliseconds(1));
+  if (wait > max_delay) wait = max_delay - random.unit() * spacing;
+  pool.next_retry_at = std::min(return_at + spacing, now + max_delay);
+  out.action = admission_action::refuse;
+  out.reason = reason;
+  out.error_ms = prediction.error_ms;
+  out.timely_slots = prediction.timely_slots;
+  out.expected_wait = return_at - now;
+  out.retry_after = std::max(wait, absl::Milliseconds(1));
 }
 
 admission_decision request_admission::decide(const admission_request& request,
@@ -383,7 +401,7 @@
                                              absl::Time now,
                                              random_stream& random) {
   pool_state& pool = this->pools[request.pool];
-  const forecast seen = make_forecast(request, view, pool, now);
+  const forecast prediction = make_forecast(request, view, pool, now);
   const absl::Duration waited = now - request.arrived;
   const bool may_wait = waited < this->limits.wait;
   const auto refused = [&](const char* reason) {
@@ -394,12 +412,12 @@
     return out;
   };
   admission_decision out;
-  out.error_ms = seen.error_ms;
-  out.timely_slots = seen.timely_slots;
-  if (seen.timely_slots > 0) {
+  out.error_ms = prediction.error_ms;
+  out.timely_slots = prediction.timely_slots;
+  if (prediction.timely_slots > 0) {
     const queued_request* front = pool.queue.front();
     if (front != nullptr && front->id == request.id) {
-      out = send_in_time(seen, view, request.size, pool, now, random);
+      out = decide_in_time(prediction, view, request.size, pool, now, random);
       if (out.action == admission_action::send) {
         pool.queue.pop();
         pool.sent.add(now);
@@ -410,20 +428,20 @@
     if (may_wait) return out;
     return refused("others went first");
   }
-  if (may_wait && seen.full_ms <= seen.left_ms) {
-    out.expected_wait = absl::Milliseconds(seen.freed_ms);
+  if (may_wait && prediction.full_option_ms <= prediction.left_ms) {
+    out.expected_wait = absl::Milliseconds(prediction.slot_free_ms);
     return out;
   }
-  out = decide_late(request, view, pool, seen, now);
+  out = decide_late(request, view, pool, prediction, now);
   // Requests that can be in time take precedence where slots are scarce.
   if (out.action == admission_action::send &&
-      claim_share(seen, view, pool, now, random)) {
+      claim_share(prediction, view, pool, now, random)) {
     this->dequeue(request);
     pool.sent.add(now);
     pool.queue.charge(request.workspace, request.caller, request.cost_ms);
     return out;
   }
-  const bool full = seen.best_ms == no_end;
+  const bool full = prediction.best_ms == infinite;
   return refused(full ? "no group has room" : "would be late");
 }
 
@@ -437,10 +455,10 @@
   return out;
 }
 
-void request_admission::note_first_event(const std::string& pool,
-                                         double predicted_ms, double taken_ms,
-                                         absl::Time now) {
-  this->pools[pool].error.add_sample(predicted_ms, taken_ms, now);
+void request_admission::record_first_event(const std::string& pool,
+                                           double predicted_ms,
+                                           double actual_ms, absl::Time now) {
+  this->pools[pool].error.add_sample(predicted_ms, actual_ms, now);
 }
 
 size_t request_admission::waiting(const std::string& pool) const {
--- a/src/request-admit.cc
+++ b/src/request-admit.cc
@@ -14,11 +14,11 @@
 namespace net = boost::asio;
 
 /// Interval at which a waiting request asks for its turn.
-constexpr absl::Duration turn_step = absl::Milliseconds(5);
+constexpr absl::Duration admission_poll_interval = absl::Milliseconds(5);
 
 /// Largest age of what a node knows of its data hall's requests: the interval
 /// between two messages of a sending node plus their transit time.
-constexpr absl::Duration hall_news_age = absl::Milliseconds(100);
+constexpr absl::Duration max_local_load_age = absl::Milliseconds(100);
 
 }  // namespace
 
@@ -70,7 +70,7 @@
                                      const std::optional<limit_report>& limit) {
   if (limit) {
     this->skipped_per_s += bucket_for_limit(*limit->per_s).per_s;
-    if (this->sends == 0) {
+    if (this->attempts_made == 0) {
       // The log line of a refused request reports the last limit skipped.
       this->chosen.endpoint = head;
       this->chosen.limit = limit;
@@ -78,8 +78,8 @@
   }
   // Reservoir sampling: each server skipped is chosen with equal
   // probability.
-  const auto passed = static_cast<uint64_t>(++this->ungranted_count);
-  if (this->node.random.below(passed) == 0) this->ungranted_server = head;
+  const auto skipped = static_cast<uint64_t>(++this->ungranted_count);
+  if (this->node.random.below(skipped) == 0) this->ungranted_server = head;
 }
 
 void request_handler::request_grant() {
@@ -161,21 +161,22 @@
 }
 
 std::optional<endpoint_target> request_handler::try_admit(
-    const admission_request& asked, bool entered) {
+    const admission_request& queued, bool was_queued) {
   this->reset_skipped();
   const std::vector<const group_view*> groups = this->candidate_groups();
-  const std::vector<group_option> options = this->weigh(groups);
+  const std::vector<group_option> options = this->group_options_of(groups);
   const admission_view view = {*this->service->engine,
                                *this->model,
                                options,
                                this->count_groups(),
                                this->node.capacity_sharing_nodes(),
-                               hall_news_age};
+                               max_local_load_age};
   const absl::Time now = this->node.now();
   auto& admission = this->node.admission;
   this->last_decision =
-      entered ? admission.decide(asked, view, now, this->node.random)
-              : admission.refuse_unqueued(asked, view, now, this->node.random);
+      was_queued
+          ? admission.decide(queued, view, now, this->node.random)
+          : admission.refuse_unqueued(queued, view, now, this->node.random);
   if (this->last_decision->action != admission_action::send) {
     return this->acquire_grant_if_needed(std::nullopt);
   }
@@ -186,22 +187,23 @@
 
 net::awaitable<std::optional<endpoint_target>> request_handler::admit() {
   this->node.admission_number++;
-  const admission_request asked = this->make_admission_request();
-  const bool entered = this->node.admission.enqueue(asked, this->node.now());
+  const admission_request queued = this->make_admission_request();
+  const bool was_queued =
+      this->node.admission.enqueue(queued, this->node.now());
   struct dequeue {
     request_admission& admission;
-    const admission_request& asked;
-    ~dequeue() { this->admission.dequeue(this->asked); }
-  } leave_at_end{this->node.admission, asked};
-  std::optional<endpoint_target> endpoint = this->try_admit(asked, entered);
+    const admission_request& queued;
+    ~dequeue() { this->admission.dequeue(this->queued); }
+  } dequeue_at_end{this->node.admission, queued};
+  std::optional<endpoint_target> endpoint = this->try_admit(queued, was_queued);
   while (!endpoint && this->last_decision->action == admission_action::wait) {
-    co_await this->node.sleep(turn_step);
+    co_await this->node.sleep(admission_poll_interval);
     if (this->session.gone) co_return std::nullopt;
-    endpoint = this->try_admit(asked, entered);
+    endpoint = this->try_admit(queued, was_queued);
   }
   if (!endpoint) {
     this->node.metrics.count_refusal(this->last_decision->reason,
-                                     asked.workspace);
+                                     queued.workspace);
   }
   co_return endpoint;
 }
--- a/src/request-answer.cc
+++ b/src/request-answer.cc
@@ -20,13 +20,13 @@
 namespace http = boost::beast::http;
 
 /// Largest plain response that is held in memory, in bytes.
-constexpr size_t largest_whole_answer = 16 << 20;
+constexpr size_t max_buffered_response = 16 << 20;
 
 /// Interval at which a response that lacks memory checks for it again.
-constexpr absl::Duration memory_step = absl::Milliseconds(20);
+constexpr absl::Duration memory_poll_interval = absl::Milliseconds(20);
 
 /// A server may break off a response that was not read for some seconds.
-constexpr absl::Duration unread_time = absl::Seconds(1);
+constexpr absl::Duration slow_read_threshold = absl::Seconds(1);
 
 /// Appends buffers, such as a chunk with its framing, to `out`.
 template <typename Buffers>
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-net::awaitable<attempt_result> request_handler::relay_answer(
+net::awaitable<attempt_result> request_handler::relay_response(
     exchange& ex, const answer_head& head) {
   const bool stream = this->route->streaming && ex.head().result_int() == 200 &&
                       is_event_stream(ex.head());
@@ -49,16 +49,16 @@
 
 bool request_handler::retry_instead(unsigned status) {
   if (status < first_server_error) return false;
-  const bool wanted = this->service->engine.has_value() ||
-                      this->node.settings.policy.repeat_failed_calls;
-  return wanted && this->may_retry(attempt_result::broken);
+  const bool wants_retry = this->service->engine.has_value() ||
+                           this->node.settings.policy.repeat_failed_calls;
+  return wants_retry && this->may_retry(attempt_result::broken);
 }
 
 net::awaitable<void> request_handler::wait_for_memory(
     exchange& ex, const answer_charge& answer) {
   ex.waiting_for_caller = true;
   while (!answer.may_grow() && ex.aborted == abort_cause::none) {
-    co_await this->node.sleep(memory_step);
+    co_await this->node.sleep(memory_poll_interval);
   }
   ex.waiting_for_caller = false;
 }
@@ -66,13 +66,13 @@
 net::awaitable<attempt_result> request_handler::relay_buffered(
     exchange& ex, const answer_head& head) {
   std::string body;
-  answer_charge held(this->node.held);
+  answer_charge charge(this->node.held);
   while (!ex.body_done()) {
-    co_await this->wait_for_memory(ex, held);
+    co_await this->wait_for_memory(ex, charge);
     const std::string error = co_await ex.read_some(body);
-    held.set(body.size());
-    if (!error.empty() || body.size() > largest_whole_answer) {
-      ex.lost = !error.empty();
+    charge.set(body.size());
+    if (!error.empty() || body.size() > max_buffered_response) {
+      ex.server_lost = !error.empty();
       this->log_attempt(ex, "broken",
                         error.empty() ? "response is too large" : error);
       co_return attempt_result::broken;
@@ -87,19 +87,19 @@
   }
   if (this->retry_instead(status)) {
     this->log_attempt(ex, "broken", status_text);
-    ex.keep(head);
+    ex.keep_connection(head);
     co_return attempt_result::broken;
   }
   http_response out;
   out.result(status);
   out.version(http_11);
   copy_end_to_end(ex.head(), out);
-  const bool bodiless = this->request.method() == http::verb::head;
-  if (!bodiless) out.body() = std::move(body);
+  const bool no_body = this->request.method() == http::verb::head;
+  if (!no_body) out.body() = std::move(body);
   out.keep_alive(this->keep_alive && !this->node.stopping());
   this->record_response(ex);
   this->log_attempt(ex, "whole", "");
-  ex.keep(head);
+  ex.keep_connection(head);
   ex.waiting_for_caller = true;
   co_await this->session.write(out);
   this->log_end("answered", "", status);
@@ -123,8 +123,8 @@
 
 void request_handler::record_prediction_error(const exchange& ex,
                                               absl::Time now) {
-  if (!this->last_decision || this->sends != 1) return;
-  this->node.admission.note_first_event(
+  if (!this->last_decision || this->attempts_made != 1) return;
+  this->node.admission.record_first_event(
       this->admission_pool(), this->chosen.predicted_ms,
       absl::ToDoubleMilliseconds(now - ex.sent_at), now);
 }
@@ -140,16 +140,16 @@
         absl::ToDoubleSeconds(now - this->arrived));
     this->record_prediction_error(ex, now);
   } else {
-    this->longest_pause =
-        std::max(this->longest_pause, now - this->last_event_at);
+    this->max_event_gap =
+        std::max(this->max_event_gap, now - this->last_event_at);
   }
   this->last_event_at = now;
   if (events.last_id >= 0) this->last_event = events.last_id;
   ex.waiting_for_caller = true;
-  const bool passed = co_await this->write_stream(events.bytes, false);
+  const bool written = co_await this->write_stream(events.bytes, false);
   ex.waiting_for_caller = false;
-  ex.caller_not_reading = this->node.now() - now >= unread_time;
-  co_return passed;
+  ex.caller_not_reading = this->node.now() - now >= slow_read_threshold;
+  co_return written;
 }
 
 void request_handler::begin_stream(const exchange& ex) {
@@ -177,11 +177,11 @@
     error = co_await ex.read_some(bytes);
     const auto events = splitter.feed(bytes);
     if (!events) error = "event is too large";
-    const bool some =
+    const bool has_events =
         events && events->events > 0 && ex.aborted == abort_cause::none;
-    if (!some) continue;
-    const bool passed = co_await this->relay_events(ex, *events);
-    if (!passed) {
+    if (!has_events) continue;
+    const bool written = co_await this->relay_events(ex, *events);
+    if (!written) {
       ex.abort(abort_cause::caller_gone);
       this->log_attempt(ex, "caller_gone", "");
       co_return attempt_result::broken;
@@ -189,14 +189,14 @@
   }
   if (!error.empty() || ex.aborted != abort_cause::none) {
     // A server is not at fault for what its caller left unread.
-    ex.lost = !ex.caller_not_reading;
+    ex.server_lost = !ex.caller_not_reading;
     this->log_attempt(ex, ex.caller_not_reading ? "unread" : "broken", error);
     co_return attempt_result::broken;
   }
-  const std::string rest = splitter.rest();
+  const std::string remainder = splitter.remainder();
   ex.waiting_for_caller = true;
-  co_await this->write_stream(rest, true);
-  ex.keep(head);
+  co_await this->write_stream(remainder, true);
+  ex.keep_connection(head);
   this->log_attempt(ex, "whole", "");
   this->log_end("answered", "", ex.head().result_int());
   co_return attempt_result::done;
--- a/src/request-crash.cc
+++ b/src/request-crash.cc
@@ -53,15 +53,16 @@
 }
 
 net::awaitable<void> request_handler::record_run_result(const exchange& ex,
-                                                        attempt_result end) {
-  const bool by_caller = ex.aborted == abort_cause::caller_gone ||
-                         ex.aborted == abort_cause::time_up;
-  if (end == attempt_result::broken && ex.lost && !by_caller) {
+                                                        attempt_result result) {
+  const bool aborted_by_caller = ex.aborted == abort_cause::caller_gone ||
+                                 ex.aborted == abort_cause::time_up;
+  if (result == attempt_result::broken && ex.server_lost &&
+      !aborted_by_caller) {
     this->server_lost_before = true;
     if (this->may_have_run(ex)) co_await this->record_server_loss(ex);
   }
   if (this->node.crashes.empty()) co_return;
-  if (end == attempt_result::done) {
+  if (result == attempt_result::done) {
     this->node.crashes.add_progress(this->identity(), run_progress::completed,
                                     this->node.now());
   } else if (ex.events_started) {
--- a/src/request-handler.cc
+++ b/src/request-handler.cc
@@ -16,32 +16,32 @@
 namespace http = boost::beast::http;
 
 /// Grace period for a response that is about to arrive at the deadline.
-constexpr absl::Duration late_answer = absl::Milliseconds(150);
+constexpr absl::Duration response_grace = absl::Milliseconds(150);
 
 /// A retryable plain call is aborted after this many times the route's goal
 /// while another attempt is left.
-constexpr double first_attempt_goals = 2.2;
+constexpr double first_attempt_goal_factor = 2.2;
 
 /// Retry delay for callers refused for lack of capacity: groups reopen or free
 /// a slot within about this time.
-constexpr absl::Duration full_retry = absl::Milliseconds(400);
+constexpr absl::Duration no_capacity_retry_delay = absl::Milliseconds(400);
 /// Retry delay during evacuations, which last seconds at least.
-constexpr absl::Duration evacuated_retry = absl::Seconds(1);
-/// Upper bound on the retry delay for rate limits: a low limit may end before
-/// the computed delay has passed.
-constexpr absl::Duration longest_limit_retry = absl::Seconds(3);
+constexpr absl::Duration evacuation_retry_delay = absl::Seconds(1);
+/// Upper bound on the retry delay for rate limits: a low limit may end
+/// before the computed delay has passed.
+constexpr absl::Duration max_limit_retry_delay = absl::Seconds(3);
 /// Retry delay if only this node refuses: another node can take the request at
 /// once.
-constexpr absl::Duration other_node_retry = absl::Milliseconds(20);
+constexpr absl::Duration other_node_retry_delay = absl::Milliseconds(20);
 /// Retry delay while no configuration is known; one is read within about this
 /// time.
-constexpr absl::Duration no_config_retry = absl::Milliseconds(500);
+constexpr absl::Duration no_config_retry_delay = absl::Milliseconds(500);
 
 /// How long a request waits on a node that has just started. The node reads its
 /// configuration and the server list within about this time, most of which goes
 /// into a large configuration on a small host.
-constexpr absl::Duration start_wait = absl::Milliseconds(450);
-constexpr absl::Duration start_step = absl::Milliseconds(15);
+constexpr absl::Duration startup_timeout = absl::Milliseconds(450);
+constexpr absl::Duration startup_poll_interval = absl::Milliseconds(15);
 
 /// A first event is overdue after this many times its predicted time plus this
 /// slack. Overdue first events reveal stalled groups.
@@ -49,7 +49,7 @@
 constexpr absl::Duration first_event_slack = absl::Milliseconds(300);
 
 /// Maximum attempts of one request, including those that servers reject.
-constexpr int most_sends = 4;
+constexpr int max_attempts = 4;
 
 /// Lowest priority rank that servers accept; 0 is the highest.
 constexpr int lowest_rank = 9;
@@ -76,41 +76,41 @@
 }
 
 net::awaitable<void> request_handler::wait_until_ready() {
-  const absl::Time until = this->arrived + start_wait;
-  const auto started = [this] {
+  const absl::Time until = this->arrived + startup_timeout;
+  const auto is_ready = [this] {
     return this->node.routes && this->node.directory_listed &&
            this->node.evacuations_known();
   };
-  while (!started() && !this->session.gone && this->node.now() < until) {
-    co_await this->node.sleep(start_step);
+  while (!is_ready() && !this->session.gone && this->node.now() < until) {
+    co_await this->node.sleep(startup_poll_interval);
   }
   this->table = this->node.routes;
 }
 
 std::optional<request_handler::refusal> request_handler::reason_to_refuse() {
   std::string fault;
-  const auto read = this->node.adapter.read_caller(this->request, fault);
-  if (!read) {
+  const auto parsed = this->node.adapter.read_caller(this->request, fault);
+  if (!parsed) {
     this->last_error = fault;
     return refusal{400, "request head not understood", {}};
   }
-  this->info = *read;
+  this->info = *parsed;
   if (this->node.closing()) {
-    return refusal{503, "node is stopping", other_node_retry};
+    return refusal{503, "node is stopping", other_node_retry_delay};
   }
   if (!this->node.held.accepts_requests()) {
-    return refusal{503, "node holds too much", other_node_retry};
+    return refusal{503, "node holds too much", other_node_retry_delay};
   }
   if (!this->table) {
-    return refusal{503, "no configuration yet", no_config_retry};
+    return refusal{503, "no configuration yet", no_config_retry_delay};
   }
   if (!this->node.evacuations_known()) {
-    return refusal{503, "evacuations are not known yet", no_config_retry};
+    return refusal{503, "evacuations are not known yet", no_config_retry_delay};
   }
   if (const auto refused = this->match_route()) return refused;
-  const absl::Duration patience =
+  const absl::Duration timeout =
       this->info.patience.value_or(this->route->timeout);
-  this->deadline = this->arrived + std::min(patience, this->route->timeout);
+  this->deadline = this->arrived + std::min(timeout, this->route->timeout);
   if (const auto refused = this->match_service()) return refused;
   if (!this->quarantined()) return std::nullopt;
   // A quarantined request crashes each server that runs it, and all requests
@@ -129,12 +129,12 @@
                                         {target.data(), target.size()});
   if (this->route == nullptr)
     return this->unknown_refusal(404, "no such route");
-  const bool keyed =
+  const bool needs_key =
       !this->route->public_access && !this->table->config().workspaces.empty();
-  if (!keyed) return std::nullopt;
+  if (!needs_key) return std::nullopt;
   this->workspace = this->table->find_workspace(this->info.key);
   if (!this->node.keys_trusted()) {
-    return refusal{503, "keys cannot be checked", no_config_retry};
+    return refusal{503, "keys cannot be checked", no_config_retry_delay};
   }
   if (this->workspace == nullptr)
     return this->unknown_refusal(401, "unknown key");
@@ -145,7 +145,7 @@
     unsigned status, const char* reason) const {
   // It may have been added since; a node with a newer configuration can tell.
   if (!this->node.config_fresh()) {
-    return {503, "configuration is old", no_config_retry};
+    return {503, "configuration is old", no_config_retry_delay};
   }
   return {status, reason, {}};
 }
@@ -153,14 +153,14 @@
 std::optional<request_handler::refusal> request_handler::match_service() {
   this->choose_service();
   if (this->service == nullptr) {
-    return refusal{503, "service is not configured", no_config_retry};
+    return refusal{503, "service is not configured", no_config_retry_delay};
   }
   this->last_event = this->info.last_event;
   this->node.retries.count_request(this->service->name, this->node.now());
   if (!this->service->engine) return std::nullopt;
   this->model = find_model(*this->service->engine, this->info.model);
   if (this->model == nullptr) {
-    return refusal{503, "model is not configured", no_config_retry};
+    return refusal{503, "model is not configured", no_config_retry_delay};
   }
   return std::nullopt;
 }
@@ -197,13 +197,14 @@
 
 void request_handler::prepare_exchange(exchange& ex,
                                        const endpoint_target& endpoint) const {
-  ex.limit = this->deadline + late_answer;
+  ex.deadline = this->deadline + response_grace;
   ex.expected_ms = absl::ToDoubleMilliseconds(this->route->goal);
-  const bool more = this->runs + 1 < this->route->attempts;
+  const bool attempts_left = this->possible_runs + 1 < this->route->attempts;
   if (!this->service->engine) {
-    if (!this->route->repeatable || !more) return;
-    ex.limit = std::min(
-        ex.limit, this->node.now() + first_attempt_goals * this->route->goal);
+    if (!this->route->repeatable || !attempts_left) return;
+    ex.deadline =
+        std::min(ex.deadline, this->node.now() + first_attempt_goal_factor *
+                                                     this->route->goal);
     return;
   }
   const endpoint_load load =
@@ -230,12 +231,12 @@
     ~detach() { this->session.current = nullptr; }
   } detach_at_end{this->session};
   this->prepare_exchange(ex, ex.endpoint);
-  this->sends++;
+  this->attempts_made++;
   ex.after_server_loss = this->has_lost_servers();
-  const attempt_result end = co_await this->run_exchange(ex);
-  if (end != attempt_result::done) this->record_failure(ex);
-  co_await this->record_run_result(ex, end);
-  co_return end;
+  const attempt_result result = co_await this->run_exchange(ex);
+  if (result != attempt_result::done) this->record_failure(ex);
+  co_await this->record_run_result(ex, result);
+  co_return result;
 }
 
 net::awaitable<attempt_result> request_handler::run_exchange(exchange& ex) {
@@ -246,9 +247,9 @@
   const answer_head head =
       this->node.adapter.read_answer(ex.head().result_int(), ex.head());
   this->update_server_limit(ex, head);
-  const std::optional<attempt_result> end = this->classify_head(ex, head);
-  if (end) co_return *end;
-  co_return co_await this->relay_answer(ex, head);
+  const std::optional<attempt_result> result = this->classify_head(ex, head);
+  if (result) co_return *result;
+  co_return co_await this->relay_response(ex, head);
 }
 
 net::awaitable<bool> request_handler::connect(exchange& ex) {
@@ -271,17 +272,17 @@
 net::awaitable<bool> request_handler::send_and_read_head(exchange& ex) {
   if (this->reserved) this->count_retry();
   if (this->chosen.limit) this->node.metrics.count_limited("sent");
-  this->connected_sends++;
-  http_request sent = this->attempt_request(ex.endpoint);
-  std::string error = co_await ex.send(sent);
+  this->connected_attempts++;
+  http_request outgoing = this->attempt_request(ex.endpoint);
+  std::string error = co_await ex.send(outgoing);
   if (error.empty()) {
     const bool no_body = this->request.method() == http::verb::head;
     error = co_await ex.read_head(no_body);
   }
   ex.head_received = error.empty();
   if (ex.head_received) co_return true;
-  this->runs++;
-  ex.lost = true;
+  this->possible_runs++;
+  ex.server_lost = true;
   this->log_attempt(ex, "broken", error);
   // A kept connection may just have been closed by its server.
   if (!ex.reused && ex.aborted == abort_cause::none) {
@@ -321,7 +322,7 @@
     if (!head.at_fault.empty()) this->node.suspect_server(head.at_fault);
     return attempt_result::not_run;
   }
-  this->runs++;
+  this->possible_runs++;
   if (!known_id) {
     this->log_attempt(ex, "broken", "response has the id of another request");
     return attempt_result::broken;
@@ -333,12 +334,13 @@
   return std::nullopt;
 }
 
-bool request_handler::may_retry(attempt_result end) {
-  if (this->session.gone || this->sends >= most_sends) return false;
+bool request_handler::may_retry(attempt_result result) {
+  if (this->session.gone || this->attempts_made >= max_attempts) return false;
   if (this->time_left() <= absl::ZeroDuration()) return false;
   if (this->quarantined()) return false;
-  if (end == attempt_result::broken &&
-      (!this->route->repeatable || this->runs >= this->route->attempts)) {
+  if (result == attempt_result::broken &&
+      (!this->route->repeatable ||
+       this->possible_runs >= this->route->attempts)) {
     return false;
   }
   return this->reserve_retry();
@@ -346,38 +348,40 @@
 
 bool request_handler::reserve_retry() {
   // The first attempt that reaches a server is no retry.
-  if (this->connected_sends == 0 || this->reserved) return true;
+  if (this->connected_attempts == 0 || this->reserved) return true;
   const absl::Time now = this->node.now();
-  auto repeat = this->node.retries.reserve(this->service->name,
-                                           this->node.fleet.most(now), now);
-  if (!repeat) {
+  auto reservation = this->node.retries.reserve(
+      this->service->name, this->node.fleet.most(now), now);
+  if (!reservation) {
     this->log_retry("repeat_refused");
     return false;
   }
-  this->reserved.emplace(std::move(*repeat));
+  this->reserved.emplace(std::move(*reservation));
   return true;
 }
 
 request_handler::refusal request_handler::final_refusal(
-    attempt_result end) const {
-  const bool not_run = this->runs == 0 && end != attempt_result::broken;
+    attempt_result result) const {
+  const bool not_run =
+      this->possible_runs == 0 && result != attempt_result::broken;
   if (not_run && this->node.service_closed(this->service->name)) {
-    return {503, "data halls are evacuated", evacuated_retry};
+    return {503, "data halls are evacuated", evacuation_retry_delay};
   }
-  const bool turned_away = this->last_decision && this->last_decision->action !=
-                                                      admission_action::send;
-  if (this->sends == 0 && turned_away) {
+  const bool not_admitted =
+      this->last_decision &&
+      this->last_decision->action != admission_action::send;
+  if (this->attempts_made == 0 && not_admitted) {
     return {503, this->last_decision->reason, this->last_decision->retry_after};
   }
-  if (this->sends == 0 && this->ungranted_count > 0) {
+  if (this->attempts_made == 0 && this->ungranted_count > 0) {
     return this->no_grant_refusal();
   }
-  if (this->sends == 0) {
+  if (this->attempts_made == 0) {
     const bool groups = this->service->engine.has_value();
     return {503, groups ? "no group has room" : "no server is there",
-            full_retry};
+            no_capacity_retry_delay};
   }
-  if (not_run) return {503, "no server took it", full_retry};
+  if (not_run) return {503, "no server took it", no_capacity_retry_delay};
   if (this->time_left() <= absl::ZeroDuration()) {
     return {504, "time is up", {}};
   }
@@ -394,10 +398,10 @@
   const absl::Duration one_per_node =
       absl::Seconds(std::max(1, this->node.live_nodes) / this->skipped_per_s);
   return {503, "servers have reached their limits",
-          std::clamp(one_per_node, grant_lifetime, longest_limit_retry)};
+          std::clamp(one_per_node, grant_lifetime, max_limit_retry_delay)};
 }
 
-net::awaitable<bool> request_handler::answer(refusal r) {
+net::awaitable<bool> request_handler::send_refusal(refusal r) {
   http_response out(static_cast<http::status>(r.status), http_11);
   out.set(http::field::content_type, "text/plain");
   out.keep_alive(this->keep_alive && !this->node.stopping());
@@ -411,34 +415,34 @@
 
 net::awaitable<bool> request_handler::run() {
   this->node.requests_seen = true;
-  const bool started = this->table && this->node.directory_listed &&
-                       this->node.evacuations_known();
-  if (!started) {
+  const bool ready = this->table && this->node.directory_listed &&
+                     this->node.evacuations_known();
+  if (!ready) {
     co_await this->wait_until_ready();
   }
   if (const auto refused = this->reason_to_refuse()) {
-    co_return co_await this->answer(*refused);
+    co_return co_await this->send_refusal(*refused);
   }
   this->record_demand();
-  attempt_result end = attempt_result::not_run;
+  attempt_result result = attempt_result::not_run;
   for (;;) {
     const auto endpoint = co_await this->find_endpoint();
-    if (this->sends == 0) {
+    if (this->attempts_made == 0) {
       this->queue_time = this->node.now() - this->arrived;
       this->node.metrics.observe_queue(absl::ToDoubleSeconds(this->queue_time));
     }
     if (this->session.gone || !endpoint) break;
     // The request may have been quarantined while it waited.
-    if (this->sends > 0 && this->quarantined()) break;
-    this->tried.insert(endpoint->load_key());
-    end = co_await this->attempt(*endpoint);
+    if (this->attempts_made > 0 && this->quarantined()) break;
+    this->tried_endpoints.insert(endpoint->load_key());
+    result = co_await this->attempt(*endpoint);
     this->attempt_ended_at = this->node.now();
-    if (end == attempt_result::done) {
+    if (result == attempt_result::done) {
       co_return this->keep_alive && !this->node.stopping();
     }
-    if (!this->may_retry(end)) break;
+    if (!this->may_retry(result)) break;
   }
-  co_return co_await this->finish_unserved(end);
+  co_return co_await this->finish_unserved(result);
 }
 
 void request_handler::count_retry() {
@@ -448,7 +452,7 @@
   if (this->head_sent) this->node.metrics.count_resume();
 }
 
-net::awaitable<bool> request_handler::finish_unserved(attempt_result end) {
+net::awaitable<bool> request_handler::finish_unserved(attempt_result result) {
   if (this->session.gone) {
     this->log_end("caller_gone", this->last_error, 0);
     co_return false;
@@ -458,14 +462,14 @@
     this->session.break_off();
     co_return false;
   }
-  const refusal r = this->final_refusal(end);
-  const bool no_room = this->node.settings.groups.follow_demand &&
-                       this->sends == 0 && this->model != nullptr;
-  if (no_room) {
-    this->node.asked.refuse(this->service->name, this->model->name,
-                            this->node.now());
+  const refusal r = this->final_refusal(result);
+  const bool no_capacity = this->node.settings.groups.follow_demand &&
+                           this->attempts_made == 0 && this->model != nullptr;
+  if (no_capacity) {
+    this->node.own_demand.refuse(this->service->name, this->model->name,
+                                 this->node.now());
   }
-  co_return co_await this->answer(r);
+  co_return co_await this->send_refusal(r);
 }
 
 }  // namespace spokesail
--- a/src/request-handler.h
+++ b/src/request-handler.h
@@ -61,7 +61,7 @@
     std::optional<limit_report> limit;
   };
 
-  // Checks, attempts and refusals: request-run.cc.
+  // Checks, attempts and refusals: request-handler.cc.
 
   /// Waits for a bounded time until a node that has just started has read the
   /// configuration and the server list.
@@ -96,7 +96,7 @@
   /// invalid headers.
   void update_server_limit(const exchange& ex, const answer_head& head);
   /// Whether the request may be sent again after an attempt with this result.
-  bool may_retry(attempt_result end);
+  bool may_retry(attempt_result result);
   /// Reserves a retry in the budget; the reservation is held while the endpoint
   /// is chosen. Returns false if no retry is left.
   bool reserve_retry();
@@ -104,18 +104,18 @@
   void count_retry();
   /// Ends a request whose response was not relayed completely. Returns whether
   /// the connection can be reused.
-  boost::asio::awaitable<bool> finish_unserved(attempt_result end);
-  refusal final_refusal(attempt_result end) const;
+  boost::asio::awaitable<bool> finish_unserved(attempt_result result);
+  refusal final_refusal(attempt_result result) const;
   /// The refusal of a request for which no server could be used without a
   /// grant.
   refusal no_grant_refusal() const;
   /// Sends a refusal. Returns whether the connection can be reused.
-  boost::asio::awaitable<bool> answer(refusal r);
+  boost::asio::awaitable<bool> send_refusal(refusal r);
   absl::Duration time_left() const;
 
   // Logging and metrics: request-log.cc.
 
-  void log_attempt(const exchange& ex, const char* end,
+  void log_attempt(const exchange& ex, const char* outcome,
                    const std::string& error);
   /// Logs that a server's rate limit changed, ended or is invalid.
   void log_limit(const char* event, const exchange& ex,
@@ -123,7 +123,7 @@
   /// Logs that a retry was sent or refused, with the state of the budget.
   void log_retry(const char* event);
   /// Current usage of the service's retry budget.
-  retry_usage retries();
+  retry_usage current_retry_usage();
   void log_end(const char* outcome, const std::string& reason, unsigned status);
 
   // Detection of requests that crash servers: request-crash.cc.
@@ -141,7 +141,7 @@
   bool may_have_run(const exchange& ex) const;
   /// Records what an attempt shows about whether the request crashes servers.
   boost::asio::awaitable<void> record_run_result(const exchange& ex,
-                                                 attempt_result end);
+                                                 attempt_result result);
   /// Checks whether the server of a lost attempt has crashed. Waits for the
   /// check only if the request is already suspected, since the check then
   /// decides whether it may be retried.
@@ -155,7 +155,7 @@
   void record_response(const exchange& ex);
   /// Records an attempt that the endpoint failed.
   void record_failure(const exchange& ex);
-  endpoint_id seen(const endpoint_target& endpoint) const;
+  endpoint_id endpoint_id_of(const endpoint_target& endpoint) const;
   /// Sets the slowness factor of each group option.
   void apply_slowness(const std::vector<const group_view*>& groups,
                       std::vector<group_option>& options) const;
@@ -163,7 +163,7 @@
   std::vector<double> server_slowness(
       const std::vector<const server_entry*>& servers) const;
 
-  // Choice of the endpoint: request-place.cc.
+  // Choice of the endpoint: request-routing.cc.
 
   /// Records the caller's demand for a model.
   void record_demand();
@@ -183,7 +183,7 @@
   /// Number of all groups that are eligible for the request.
   size_t count_groups() const;
   /// The groups with their load and cost, as input of the prediction.
-  std::vector<group_option> weigh(
+  std::vector<group_option> group_options_of(
       const std::vector<const group_view*>& groups) const;
   /// Whether a server is in this node's data hall.
   bool is_local(const server_entry& entry) const;
@@ -233,13 +233,13 @@
   boost::asio::awaitable<std::optional<endpoint_target>> admit();
   /// Makes one admission decision. Returns the endpoint if the request is
   /// admitted.
-  std::optional<endpoint_target> try_admit(const admission_request& asked,
-                                           bool entered);
+  std::optional<endpoint_target> try_admit(const admission_request& queued,
+                                           bool was_queued);
 
   // Relaying of responses: request-answer.cc.
 
-  boost::asio::awaitable<attempt_result> relay_answer(exchange& ex,
-                                                      const answer_head& head);
+  boost::asio::awaitable<attempt_result> relay_response(
+      exchange& ex, const answer_head& head);
   /// Waits until there is memory for more of a response.
   boost::asio::awaitable<void> wait_for_memory(exchange& ex,
                                                const answer_charge& answer);
@@ -294,13 +294,13 @@
   absl::Time grant_wanted_at = absl::InfinitePast();
 
   /// Endpoints that an attempt was made at.
-  std::set<std::string> tried;
+  std::set<std::string> tried_endpoints;
   /// Attempts that a server may have run.
-  int runs = 0;
+  int possible_runs = 0;
   /// All attempts.
-  int sends = 0;
+  int attempts_made = 0;
   /// Attempts that got a connection, so that a server may have received them.
-  int connected_sends = 0;
+  int connected_attempts = 0;
   /// A retry reserved in the budget for this request.
   std::optional<retry_reservation> reserved;
   /// When the last attempt ended; only set after one.
@@ -319,7 +319,7 @@
   std::string stream_head;
   absl::Time first_event_at = absl::InfiniteFuture();
   absl::Time last_event_at = absl::InfiniteFuture();
-  absl::Duration longest_pause = absl::ZeroDuration();
+  absl::Duration max_event_gap = absl::ZeroDuration();
   /// Time from arrival until an endpoint was chosen or the choice failed.
   absl::Duration queue_time = absl::ZeroDuration();
 };
--- a/src/request-log.cc
+++ b/src/request-log.cc
@@ -14,17 +14,17 @@
 
 }  // namespace
 
-void request_handler::log_attempt(const exchange& ex, const char* end,
+void request_handler::log_attempt(const exchange& ex, const char* outcome,
                                   const std::string& error) {
-  this->node.metrics.count_attempt(end);
+  this->node.metrics.count_attempt(outcome);
   this->last_error = error;
-  if (std::string_view(end) == "whole") return;
+  if (std::string_view(outcome) == "whole") return;
   const absl::Time now = this->node.now();
   this->node.log.write(
       log_category::request, "attempt_ended",
       {{"id", this->info.id},
        {"identity", to_text(this->identity())},
-       {"end", end},
+       {"end", outcome},
        {"why",
         ex.aborted == abort_cause::none ? error : abort_cause_name(ex.aborted)},
        {"server", ex.endpoint.server},
@@ -58,27 +58,27 @@
       this->node.now());
 }
 
-retry_usage request_handler::retries() {
+retry_usage request_handler::current_retry_usage() {
   if (this->service == nullptr) return {};
   const absl::Time now = this->node.now();
-  return this->node.retries.account(this->service->name,
-                                    this->node.fleet.most(now), now);
+  return this->node.retries.usage(this->service->name,
+                                  this->node.fleet.most(now), now);
 }
 
 void request_handler::log_retry(const char* event) {
   this->node.metrics.count_retry(this->service->name, event);
   const absl::Time now = this->node.now();
-  const retry_usage budget = this->retries();
+  const retry_usage budget = this->current_retry_usage();
   const std::optional<int> nodes = this->node.fleet.most(now);
   this->node.log.write(log_category::request, event,
                        {{"id", this->info.id},
                         {"service", this->service->name},
-                        {"sends", absl::StrCat(this->sends)},
+                        {"sends", absl::StrCat(this->attempts_made)},
                         {"wait_ms", millis(now - this->attempt_ended_at)},
                         {"window_requests", absl::StrCat(budget.requests)},
                         {"window_repeats", absl::StrCat(budget.retries)},
                         {"reserved", absl::StrCat(budget.reserved)},
-                        {"left", absl::StrCat(budget.left)},
+                        {"left", absl::StrCat(budget.remaining)},
                         {"nodes", nodes ? absl::StrCat(*nodes) : "unknown"},
                         {"live_nodes", absl::StrCat(this->node.live_nodes)},
                         {"up_ms", millis(now - this->node.started)}},
@@ -93,7 +93,7 @@
       absl::ToDoubleSeconds(now - this->arrived));
   if (this->first_event_at != absl::InfiniteFuture()) {
     this->node.metrics.observe_pause(
-        absl::ToDoubleSeconds(this->longest_pause));
+        absl::ToDoubleSeconds(this->max_event_gap));
   }
   const absl::Time first = std::min(this->first_event_at, now);
   const std::optional<limit_report>& limit = this->chosen.limit;
@@ -129,12 +129,13 @@
        {"limit_age_ms", limit ? millis(limit->age) : ""},
        {"identity",
         this->cached_identity ? to_text(*this->cached_identity) : ""},
-       {"sends", absl::StrCat(this->sends)},
-       {"runs", absl::StrCat(this->runs)},
-       {"repeats_left", absl::StrCat(static_cast<int>(this->retries().left))},
+       {"sends", absl::StrCat(this->attempts_made)},
+       {"runs", absl::StrCat(this->possible_runs)},
+       {"repeats_left",
+        absl::StrCat(static_cast<int>(this->current_retry_usage().remaining))},
        {"last_event", absl::StrCat(this->last_event)},
        {"first_ms", millis(first - this->arrived)},
-       {"pause_ms", millis(this->longest_pause)},
+       {"pause_ms", millis(this->max_event_gap)},
        {"total_ms", millis(now - this->arrived)},
        {"prompt", absl::StrCat(this->info.prompt_tokens)},
        {"config",
--- a/src/request-routing.cc
+++ b/src/request-routing.cc
@@ -12,32 +12,32 @@
 
 /// Added cost of another data hall, in ms: the network delay, plus the error of
 /// its reported load as a fraction of the interval between reports.
-constexpr double other_hall_ms = 3;
-constexpr double stale_share = 0.06;
+constexpr double remote_hall_delay_ms = 3;
+constexpr double report_error_fraction = 0.06;
 
 /// Number of remote groups considered for one request, drawn at random. Two
 /// choices spread load nearly as well as all when reports are fresh, and far
 /// better when they are old.
-constexpr size_t far_choices = 2;
+constexpr size_t remote_choices = 2;
 
 /// Added cost of a plain server in another data hall, in requests.
-constexpr double other_hall_requests = 0.5;
+constexpr double remote_hall_cost_requests = 0.5;
 
 /// Width of the random term in the cost of plain servers, in requests. It keeps
 /// nodes that see the same load from all choosing the same server.
-constexpr double drawn_requests = 0.4;
+constexpr double random_cost_requests = 0.4;
 
 /// How long a request that lost its server waits for another. It is late at
 /// worst, and a group that lost a member is back within about this time.
 /// Callers leave a stream that is silent for two seconds.
-constexpr absl::Duration repeat_wait = absl::Milliseconds(1500);
+constexpr absl::Duration retry_wait = absl::Milliseconds(1500);
 
 /// How long a request waits for a grant if all remaining servers need one: a
 /// round trip between data halls plus the tick that sends the grant request.
 constexpr absl::Duration grant_wait = absl::Milliseconds(60);
 
 /// Interval at which a waiting request retries the choice.
-constexpr absl::Duration wait_step = absl::Milliseconds(15);
+constexpr absl::Duration endpoint_poll_interval = absl::Milliseconds(15);
 
 }  // namespace
 
@@ -62,7 +62,7 @@
 
 bool request_handler::is_eligible(const group_view& group) const {
   if (!group.serving() || group.model != this->model->name) return false;
-  if (this->tried.count(group.name) != 0) return false;
+  if (this->tried_endpoints.count(group.name) != 0) return false;
   if (this->node.avoided(group.name)) return false;
   const server_entry* head = this->node.directory.find(group.head());
   if (head == nullptr || head->draining) return false;
@@ -94,8 +94,8 @@
   if (!this->node.settings.groups.follow_demand) return;
   if (this->model == nullptr) return;
   const bool counted =
-      this->node.asked.arrive(this->service->name, this->model->name,
-                              this->expected_size(), this->node.now());
+      this->node.own_demand.arrive(this->service->name, this->model->name,
+                                   this->expected_size(), this->node.now());
   if (!counted) this->node.metrics.count_update_event("demand_left_out");
 }
 
@@ -103,7 +103,7 @@
   const engine_profile& engine = *this->service->engine;
   const request_size size = this->expected_size();
   const std::vector<const group_view*> groups = this->candidate_groups();
-  const std::vector<group_option> options = this->weigh(groups);
+  const std::vector<group_option> options = this->group_options_of(groups);
   const auto found =
       choose_group(engine, *this->model, options, size, this->node.random);
   if (!found) return std::nullopt;
@@ -124,7 +124,7 @@
                          group.epoch, group.members, head->incarnation};
 }
 
-std::vector<group_option> request_handler::weigh(
+std::vector<group_option> request_handler::group_options_of(
     const std::vector<const group_view*>& groups) const {
   const absl::Time now = this->node.now();
   std::vector<group_option> out;
@@ -140,19 +140,19 @@
 
 std::vector<const group_view*> request_handler::candidate_groups() {
   std::vector<const group_view*> out;
-  std::vector<const group_view*> far;
+  std::vector<const group_view*> remote;
   for (const auto& group : this->node.groups(this->service->name)) {
     if (!this->is_eligible(group)) continue;
     if (!this->may_send(group.head(), group.members)) continue;
     const server_entry* head = this->node.directory.find(group.head());
-    (this->is_local(*head) ? out : far).push_back(&group);
+    (this->is_local(*head) ? out : remote).push_back(&group);
   }
   // Reports from other data halls are old, so the emptiest group there would
   // attract the requests of all nodes at once.
-  for (size_t drawn = 0; drawn < far_choices && !far.empty(); ++drawn) {
-    const size_t at = this->node.random.below(far.size());
-    out.push_back(far[at]);
-    far.erase(far.begin() + static_cast<ptrdiff_t>(at));
+  for (size_t drawn = 0; drawn < remote_choices && !remote.empty(); ++drawn) {
+    const size_t at = this->node.random.below(remote.size());
+    out.push_back(remote[at]);
+    remote.erase(remote.begin() + static_cast<ptrdiff_t>(at));
   }
   return out;
 }
@@ -177,8 +177,9 @@
 }
 
 double request_handler::remote_hall_cost_ms() const {
-  return other_hall_ms + stale_share * absl::ToDoubleMilliseconds(
-                                           this->node.remote_update_period);
+  return remote_hall_delay_ms +
+         report_error_fraction *
+             absl::ToDoubleMilliseconds(this->node.remote_update_period);
 }
 
 std::optional<endpoint_target> request_handler::pick_server() {
@@ -187,7 +188,8 @@
   for (const auto& [id, server] : this->node.directory.servers()) {
     const server_entry& entry = server.entry;
     if (entry.service != this->service->name || entry.draining) continue;
-    if (this->tried.count(id) != 0 || this->node.avoided(id)) continue;
+    if (this->tried_endpoints.count(id) != 0 || this->node.avoided(id))
+      continue;
     if (!this->has_connection_slot(id)) continue;
     if (this->node.hall_closed(entry.hall)) continue;
     if (!this->may_send(id, {id})) continue;
@@ -195,18 +197,18 @@
   }
   const std::vector<double> slowness = this->server_slowness(servers);
   size_t best = servers.size();
-  double least = 0;
+  double min_cost = 0;
   for (size_t i = 0; i < servers.size(); ++i) {
     // A server that is slow by some factor costs as much as one with that many
     // times the requests, the new one included.
     const int running = this->node.loads.total(servers[i]->id, now).running;
     const double cost =
         (running + 1) * slowness[i] - 1 +
-        (this->is_local(*servers[i]) ? 0 : other_hall_requests) +
-        drawn_requests * this->node.random.unit();
-    if (best != servers.size() && cost >= least) continue;
+        (this->is_local(*servers[i]) ? 0 : remote_hall_cost_requests) +
+        random_cost_requests * this->node.random.unit();
+    if (best != servers.size() && cost >= min_cost) continue;
     best = i;
-    least = cost;
+    min_cost = cost;
   }
   if (best == servers.size()) return std::nullopt;
   const server_entry& entry = *servers[best];
@@ -222,25 +224,27 @@
 
 net::awaitable<std::optional<endpoint_target>>
 request_handler::find_endpoint() {
-  if (this->sends == 0 && this->node.settings.policy.admit_in_time &&
+  if (this->attempts_made == 0 && this->node.settings.policy.admit_in_time &&
       this->service->engine) {
-    const auto admitted_to = co_await this->admit();
-    if (admitted_to || this->ungranted_count == 0) co_return admitted_to;
+    const auto admitted = co_await this->admit();
+    if (admitted || this->ungranted_count == 0) co_return admitted;
     // A grant for a group that was skipped may arrive shortly.
     this->last_decision.reset();
   }
   auto endpoint = this->pick();
   // A request for which there is no capacity is refused at once: its caller can
   // still return in time, whereas a waiting request would be served late.
-  const bool may_be_granted = this->sends == 0 && this->ungranted_count > 0;
-  if (endpoint || (this->sends == 0 && !may_be_granted)) co_return endpoint;
+  const bool may_be_granted =
+      this->attempts_made == 0 && this->ungranted_count > 0;
+  if (endpoint || (this->attempts_made == 0 && !may_be_granted))
+    co_return endpoint;
   // Evacuations last longer than a request may wait.
   if (this->node.service_closed(this->service->name)) co_return endpoint;
-  const absl::Duration longest = may_be_granted ? grant_wait : repeat_wait;
+  const absl::Duration longest = may_be_granted ? grant_wait : retry_wait;
   const absl::Time until =
       this->node.now() + std::min(longest, this->time_left() / 2);
   while (!endpoint && !this->session.gone && this->node.now() < until) {
-    co_await this->node.sleep(wait_step);
+    co_await this->node.sleep(endpoint_poll_interval);
     endpoint = this->pick();
   }
   co_return endpoint;
--- a/src/request-speed.cc
+++ b/src/request-speed.cc
@@ -4,7 +4,8 @@
 
 namespace spokesail {
 
-endpoint_id request_handler::seen(const endpoint_target& endpoint) const {
+endpoint_id request_handler::endpoint_id_of(
+    const endpoint_target& endpoint) const {
   if (endpoint.group.empty()) {
     return {this->service->name, endpoint.server, endpoint.incarnation};
   }
@@ -16,9 +17,9 @@
   if (!this->node.settings.policy.learn_speeds) return;
   if (ex.expected_ms <= 0) return;
   const absl::Time now = this->node.now();
-  const double took = absl::ToDoubleMilliseconds(now - ex.sent_at);
-  this->node.speeds.add_sample(this->seen(ex.endpoint), took / ex.expected_ms,
-                               now);
+  const double elapsed_ms = absl::ToDoubleMilliseconds(now - ex.sent_at);
+  this->node.speeds.add_sample(this->endpoint_id_of(ex.endpoint),
+                               elapsed_ms / ex.expected_ms, now);
 }
 
 void request_handler::record_response(const exchange& ex) {
@@ -39,17 +40,17 @@
     const bool waited =
         !ex.events_started && ex.sent_at <= now && ex.expected_ms > 0;
     if (!waited) return;
-    const double took = absl::ToDoubleMilliseconds(now - ex.sent_at);
-    this->node.speeds.add_unanswered(this->seen(ex.endpoint),
-                                     took / ex.expected_ms, now);
+    const double elapsed_ms = absl::ToDoubleMilliseconds(now - ex.sent_at);
+    this->node.speeds.add_unanswered(this->endpoint_id_of(ex.endpoint),
+                                     elapsed_ms / ex.expected_ms, now);
     return;
   }
   if (ex.aborted == abort_cause::caller_gone) return;
   // A caller's deadline may be shorter than a normal response time.
-  const bool short_of_time = ex.aborted == abort_cause::time_up &&
-                             now - ex.sent_at < this->route->goal;
-  if (short_of_time) return;
-  this->node.speeds.record_failure(this->seen(ex.endpoint), now);
+  const bool deadline_before_goal = ex.aborted == abort_cause::time_up &&
+                                    now - ex.sent_at < this->route->goal;
+  if (deadline_before_goal) return;
+  this->node.speeds.record_failure(this->endpoint_id_of(ex.endpoint), now);
 }
 
 void request_handler::apply_slowness(
@@ -58,19 +59,19 @@
   if (!this->node.settings.policy.learn_speeds) return;
   const absl::Time now = this->node.now();
   // Groups of this data hall and of the others are bounded separately.
-  for (const bool near : {true, false}) {
-    std::vector<size_t> part;
+  for (const bool local : {true, false}) {
+    std::vector<size_t> indices;
     std::vector<double> slowness;
     for (size_t i = 0; i < groups.size(); ++i) {
       const server_entry* head = this->node.directory.find(groups[i]->head());
-      if (this->is_local(*head) != near) continue;
+      if (this->is_local(*head) != local) continue;
       this->node.speeds.set_epoch({"", groups[i]->name, groups[i]->epoch}, now);
-      part.push_back(i);
+      indices.push_back(i);
       slowness.push_back(this->node.speeds.slowness(groups[i]->name, now));
     }
     slowness = bound_slowness(std::move(slowness));
-    for (size_t i = 0; i < part.size(); ++i) {
-      options[part[i]].slowness = slowness[i];
+    for (size_t i = 0; i < indices.size(); ++i) {
+      options[indices[i]].slowness = slowness[i];
     }
   }
 }
--- a/src/requests.cc
+++ b/src/requests.cc
@@ -8,16 +8,16 @@
 namespace {
 
 /// Retries that each new request adds to the retry budget.
-constexpr double retry_share = 0.2;
+constexpr double retries_per_request = 0.2;
 
 /// Maximum attempts of one request, regardless of the budget.
 constexpr int max_attempts = 4;
 
 /// How long a request waits for a group to open before it is refused.
-constexpr absl::Duration closed_hold = absl::Seconds(2);
+constexpr absl::Duration max_closed_wait = absl::Seconds(2);
 
 /// How long a request avoids a target that failed it.
-constexpr absl::Duration avoid_for = absl::Milliseconds(500);
+constexpr absl::Duration avoid_duration = absl::Milliseconds(500);
 
 /// Bounds on the retry delay given to a caller.
 constexpr absl::Duration min_retry_after = absl::Seconds(1);
@@ -45,9 +45,10 @@
 
 }  // namespace
 
-std::optional<outcome> request_table::reason_to_refuse(
-    const request_info& info, const routing_view& world, absl::Time now) {
-  const configuration* config = world.config();
+std::optional<outcome> request_table::reason_to_refuse(const request_info& info,
+                                                       const routing_view& view,
+                                                       absl::Time now) {
+  const configuration* config = view.config();
   if (this->stopping) {
     return refusal(503, "stopping", "this entry host is stopping",
                    min_retry_after);
@@ -87,15 +88,15 @@
   return std::nullopt;
 }
 
-void request_table::arrive(const request_info& info, const routing_view& world,
+void request_table::arrive(const request_info& info, const routing_view& view,
                            random_stream& random, absl::Time now,
                            request_actions& out) {
-  if (auto refused = this->reason_to_refuse(info, world, now)) {
+  if (auto refused = this->reason_to_refuse(info, view, now)) {
     out.finishes.push_back({info.id, *std::move(refused)});
     return;
   }
-  this->retry_budget.add(retry_share);
-  const configuration& config = *world.config();
+  this->retry_budget.add(retries_per_request);
+  const configuration& config = *view.config();
   const workspace_config& workspace = *find_workspace(config, info.workspace);
   entry e;
   e.info = info;
@@ -109,9 +110,9 @@
   e.queued_since = now;
   const pool_key key{info.kind, info.target};
   pool& p = this->pools[key];
-  const int places =
-      static_cast<int>(world.open_places(info.kind, info.target).size());
-  const absl::Duration wait = this->queue_wait(p, places);
+  const int targets =
+      static_cast<int>(view.open_places(info.kind, info.target).size());
+  const absl::Duration wait = this->queue_wait(p, targets);
   if (!p.queue.empty() && now + wait > e.info.deadline) {
     out.finishes.push_back(
         {info.id, refusal(503, "too_late",
@@ -130,12 +131,12 @@
     return;
   }
   this->requests.emplace(info.id, std::move(e));
-  this->pump(key, world, random, now, out);
+  this->send_queued(key, view, random, now, out);
 }
 
-absl::Duration request_table::queue_wait(const pool& p, int places) const {
+absl::Duration request_table::queue_wait(const pool& p, int targets) const {
   const double turns = static_cast<double>(p.queue.size()) /
-                       static_cast<double>(std::max(places, 1));
+                       static_cast<double>(std::max(targets, 1));
   return absl::Seconds(turns * p.service_seconds);
 }
 
@@ -160,50 +161,51 @@
 }
 
 outcome request_table::refuse_closed(const entry& e,
-                                     const routing_view& world) const {
+                                     const routing_view& view) const {
   return refusal(503, "no_open_group",
                  absl::StrCat("nothing serves ", e.info.target, " now"),
-                 bounded_retry_after(world.estimated_reopen(e.info.target)));
+                 bounded_retry_after(view.estimated_reopen(e.info.target)));
 }
 
-void request_table::pump(const pool_key& key, const routing_view& world,
-                         random_stream& random, absl::Time now,
-                         request_actions& out) {
+void request_table::send_queued(const pool_key& key, const routing_view& view,
+                                random_stream& random, absl::Time now,
+                                request_actions& out) {
   pool& p = this->pools[key];
   while (const queued_request* next = p.queue.front()) {
     const uint64_t id = next->id;
     entry& e = this->requests.at(id);
-    if (!this->start_one(e, world, random, now, out)) return;
+    if (!this->start_attempt(e, view, random, now, out)) return;
     p.queue.pop();
     e.queued = false;
     e.queued_since = now;
   }
 }
 
-bool request_table::start_one(entry& e, const routing_view& world,
-                              random_stream& random, absl::Time now,
-                              request_actions& out) {
-  auto places = world.open_places(e.info.kind, e.info.target);
-  const bool some_open = !places.empty();
+bool request_table::start_attempt(entry& e, const routing_view& view,
+                                  random_stream& random, absl::Time now,
+                                  request_actions& out) {
+  auto targets = view.open_places(e.info.kind, e.info.target);
+  const bool some_open = !targets.empty();
   if (now < e.avoid_until) {
-    std::erase_if(places, [&](const open_target& place) {
-      return std::find(e.avoided.begin(), e.avoided.end(), place.target.name) !=
-             e.avoided.end();
+    std::erase_if(targets, [&](const open_target& candidate) {
+      return std::find(e.avoided.begin(), e.avoided.end(),
+                       candidate.target.name) != e.avoided.end();
     });
   }
   std::optional<attempt_target> target;
-  if (!places.empty()) {
+  if (!targets.empty()) {
     std::vector<route_option> options;
-    options.reserve(places.size());
-    for (const auto& place : places) {
-      options.push_back({place.target.name, this->in_flight(place.target.name),
-                         place.reported, place.capacity, place.share});
+    options.reserve(targets.size());
+    for (const auto& candidate : targets) {
+      options.push_back(
+          {candidate.target.name, this->in_flight(candidate.target.name),
+           candidate.reported, candidate.capacity, candidate.share});
     }
     const auto chosen = choose_route(options, e.info.prefix, random);
     if (!chosen) return false;
-    target = places[*chosen].target;
+    target = targets[*chosen].target;
   } else if (!some_open && !e.info.forwarded) {
-    const auto others = world.other_halls(e.info.kind, e.info.target);
+    const auto others = view.other_halls(e.info.kind, e.info.target);
     if (others.empty()) return false;
     target = others[random.below(others.size())];
   } else {
@@ -219,7 +221,7 @@
 }
 
 void request_table::attempt_ended(uint64_t request, const std::string& attempt,
-                                  attempt_end end, const routing_view& world,
+                                  attempt_end end, const routing_view& view,
                                   random_stream& random, absl::Time now,
                                   request_actions& out) {
   const auto it = this->requests.find(request);
@@ -233,18 +235,18 @@
     mean += weight * (absl::ToDoubleSeconds(now - e.queued_since) - mean);
     this->finish(request, outcome{}, out);
   } else {
-    this->retry(e, end, world, random, now, out);
+    this->retry(e, end, view, random, now, out);
   }
-  this->pump(key, world, random, now, out);
+  this->send_queued(key, view, random, now, out);
 }
 
-void request_table::retry(entry& e, attempt_end end, const routing_view& world,
+void request_table::retry(entry& e, attempt_end end, const routing_view& view,
                           random_stream& random, absl::Time now,
                           request_actions& out) {
   const uint64_t id = e.info.id;
   if (now >= e.avoid_until) e.avoided.clear();
   e.avoided.push_back(e.target.name);
-  e.avoid_until = now + avoid_for;
+  e.avoid_until = now + avoid_duration;
   const bool may_have_run = end == attempt_end::broken;
   e.failures += may_have_run ? 1 : 0;
   if (may_have_run && !e.info.repeatable) {
@@ -255,10 +257,10 @@
                  out);
     return;
   }
-  const bool spent =
+  const bool exhausted =
       e.attempts >= max_attempts || !this->retry_budget.try_consume(1, now);
-  if (!spent) {
-    if (this->start_one(e, world, random, now, out)) return;
+  if (!exhausted) {
+    if (this->start_attempt(e, view, random, now, out)) return;
     const pool_key key{e.info.kind, e.info.target};
     e.queued = true;
     e.queued_since = now;
@@ -290,16 +292,16 @@
                out);
 }
 
-void request_table::step(const routing_view& world, random_stream& random,
+void request_table::step(const routing_view& view, random_stream& random,
                          absl::Time now, request_actions& out) {
-  this->abandon_closed(world, random, now, out);
+  this->abandon_closed(view, random, now, out);
   std::vector<uint64_t> late;
   std::vector<uint64_t> closed;
   for (const auto& [id, e] : this->requests) {
     if (e.info.deadline <= now) {
       late.push_back(id);
-    } else if (e.queued && now - e.queued_since >= closed_hold &&
-               world.open_places(e.info.kind, e.info.target).empty()) {
+    } else if (e.queued && now - e.queued_since >= max_closed_wait &&
+               view.open_places(e.info.kind, e.info.target).empty()) {
       closed.push_back(id);
     }
   }
@@ -315,7 +317,7 @@
   }
   for (const uint64_t id : closed) {
     const entry& e = this->requests.at(id);
-    outcome result = this->refuse_closed(e, world);
+    outcome result = this->refuse_closed(e, view);
     if (e.failures > 0) {
       result.kind = outcome_kind::failed;
       result.http_status = 502;
@@ -324,23 +326,23 @@
     this->finish(id, std::move(result), out);
   }
   for (auto& [key, p] : this->pools) {
-    if (!p.queue.empty()) this->pump(key, world, random, now, out);
+    if (!p.queue.empty()) this->send_queued(key, view, random, now, out);
   }
 }
 
-void request_table::abandon_closed(const routing_view& world,
+void request_table::abandon_closed(const routing_view& view,
                                    random_stream& random, absl::Time now,
                                    request_actions& out) {
   std::vector<uint64_t> lost;
   for (const auto& [id, e] : this->requests) {
     if (e.attempt.empty() || e.target.remote_hall) continue;
-    if (!world.can_complete(e.info.kind, e.target)) lost.push_back(id);
+    if (!view.can_complete(e.info.kind, e.target)) lost.push_back(id);
   }
   for (const uint64_t id : lost) {
     entry& e = this->requests.at(id);
     const std::string attempt = e.attempt;
     out.cancels.push_back(attempt);
-    this->attempt_ended(id, attempt, attempt_end::broken, world, random, now,
+    this->attempt_ended(id, attempt, attempt_end::broken, view, random, now,
                         out);
   }
 }
@@ -360,8 +362,8 @@
   return it->second.target;
 }
 
-int request_table::in_flight(const std::string& place) const {
-  const auto it = this->running.find(place);
+int request_table::in_flight(const std::string& target) const {
+  const auto it = this->running.find(target);
   return it == this->running.end() ? 0 : it->second;
 }
 
--- a/src/retry-budget.cc
+++ b/src/retry-budget.cc
@@ -10,15 +10,15 @@
 /// Fraction of the budget that is used at most. The rest covers the windows of
 /// other nodes, which begin at other moments, and processes that have just
 /// started.
-constexpr double spent_share = 0.85;
+constexpr double usable_fraction = 0.85;
 
 /// Fraction of the ratio that a process uses within its first window.
-constexpr double first_share = 1 - spent_share;
+constexpr double first_window_fraction = 1 - usable_fraction;
 
 }  // namespace
 
-retry_budget::history& retry_budget::recent(const std::string& service,
-                                            absl::Time now) {
+retry_budget::history& retry_budget::current_history(const std::string& service,
+                                                     absl::Time now) {
   history& h = this->services[service];
   const absl::Time since = now - this->limits.window;
   while (!h.requests.empty() && h.requests.front() < since) {
@@ -31,38 +31,40 @@
 }
 
 void retry_budget::count_request(const std::string& service, absl::Time now) {
-  this->recent(service, now).requests.push_back(now);
+  this->current_history(service, now).requests.push_back(now);
 }
 
-double retry_budget::allowed(const history& h, std::optional<int> nodes,
-                             absl::Time now) const {
-  const double by_requests =
+double retry_budget::allowance(const history& h, std::optional<int> nodes,
+                               absl::Time now) const {
+  const double ratio_part =
       this->limits.ratio * static_cast<double>(h.requests.size());
   if (now - this->started < this->limits.window) {
-    return first_share * by_requests;
+    return first_window_fraction * ratio_part;
   }
-  const double part = nodes ? this->limits.slack / std::max(1, *nodes) : 0;
-  return spent_share * (by_requests + part);
+  const double slack_part =
+      nodes ? this->limits.slack / std::max(1, *nodes) : 0;
+  return usable_fraction * (ratio_part + slack_part);
 }
 
-retry_usage retry_budget::account(const std::string& service,
-                                  std::optional<int> nodes, absl::Time now) {
-  const history& h = this->recent(service, now);
+retry_usage retry_budget::usage(const std::string& service,
+                                std::optional<int> nodes, absl::Time now) {
+  const history& h = this->current_history(service, now);
   retry_usage out;
   out.requests = static_cast<int>(h.requests.size());
   out.retries = static_cast<int>(h.retries.size());
   out.reserved = h.reserved;
-  out.left = this->allowed(h, nodes, now) - out.retries - out.reserved;
+  out.remaining = this->allowance(h, nodes, now) - out.retries - out.reserved;
   return out;
 }
 
 std::optional<retry_reservation> retry_budget::reserve(
     const std::string& service, std::optional<int> nodes, absl::Time now) {
-  if (this->account(service, nodes, now).left < 1) return std::nullopt;
+  if (this->usage(service, nodes, now).remaining < 1) return std::nullopt;
   return retry_reservation(this->services[service]);
 }
 
-retry_reservation::retry_reservation(retry_budget::history& of) : history(&of) {
+retry_reservation::retry_reservation(retry_budget::history& source)
+    : history(&source) {
   this->history->reserved++;
 }
 
--- a/src/routing.cc
+++ b/src/routing.cc
@@ -9,29 +9,29 @@
 /// mean.
 constexpr double affinity_bound = 1.25;
 
-double fill(const route_option& option) {
+double utilization(const route_option& option) {
   const int load = std::max(option.in_flight, option.reported);
   return static_cast<double>(load) / std::max(option.capacity, 1);
 }
 
-double mean_fill(const std::vector<route_option>& options) {
+double mean_utilization(const std::vector<route_option>& options) {
   double sum = 0;
-  for (const auto& option : options) sum += fill(option);
+  for (const auto& option : options) sum += utilization(option);
   return sum / static_cast<double>(options.size());
 }
 
-std::optional<size_t> prefix_home(const std::vector<route_option>& options,
-                                  uint64_t prefix) {
+std::optional<size_t> affinity_option(const std::vector<route_option>& options,
+                                      uint64_t prefix) {
   std::vector<std::string> names;
   names.reserve(options.size());
   for (const auto& option : options) names.push_back(option.name);
-  const double bound = affinity_bound * mean_fill(options);
+  const double bound = affinity_bound * mean_utilization(options);
   const auto ranked = rendezvous(std::to_string(prefix), names, names.size());
   for (const auto& name : ranked) {
     const auto it = std::find(names.begin(), names.end(), name);
     const auto i = static_cast<size_t>(it - names.begin());
     const double one = 1.0 / std::max(options[i].capacity, 1);
-    const bool near_mean = fill(options[i]) <= bound + one;
+    const bool near_mean = utilization(options[i]) <= bound + one;
     if (near_mean && has_room(options[i])) return i;
   }
   return std::nullopt;
@@ -54,12 +54,12 @@
   }
   if (open.empty()) return std::nullopt;
   if (prefix) {
-    const auto home = prefix_home(options, *prefix);
-    if (home) return home;
+    const auto preferred = affinity_option(options, *prefix);
+    if (preferred) return preferred;
   }
   const size_t a = open[random.below(open.size())];
   const size_t b = open[random.below(open.size())];
-  return fill(options[b]) < fill(options[a]) ? b : a;
+  return utilization(options[b]) < utilization(options[a]) ? b : a;
 }
 
 }  // namespace spokesail
--- a/src/speed-table.cc
+++ b/src/speed-table.cc
@@ -19,33 +19,33 @@
 /// samples. If a peer has reported the endpoint, fewer samples suffice: nodes
 /// that saw nothing unusual would not report on their own, and the slow reports
 /// would pass for the whole picture.
-constexpr double slowness_to_tell = 2;
-constexpr int samples_to_tell = 2;
-constexpr int samples_to_answer = 1;
+constexpr double report_threshold = 2;
+constexpr int min_samples_to_report = 2;
+constexpr int min_samples_to_confirm = 1;
 
 /// Slowness of an endpoint that fails all its requests, as a multiple of its
 /// own time. A failed request costs the caller far more than a slow response.
 constexpr double failure_cost = 10;
 
 /// Failures allowed to any endpoint, since a few requests fail anywhere.
-constexpr double usual_failures = 0.5;
+constexpr double tolerated_failures = 0.5;
 
 /// Tolerated excess of an endpoint's failure share over that of the others.
 /// With few samples, a call that fails now and then varies by as much.
-constexpr double failures_by_chance = 0.15;
+constexpr double tolerated_failure_excess = 0.15;
 
 /// Largest fraction of the endpoints that may be penalized; one of two may be.
-constexpr double most_slow_share = 0.4;
+constexpr double max_slow_fraction = 0.4;
 
 /// From this ratio on, a request that ended without a response shows that its
 /// endpoint is slow: normal endpoints have mostly responded by then.
-constexpr double late_unanswered = 3;
+constexpr double min_unanswered_ratio = 3;
 
 /// Reported slowness is rounded to multiples of this in its base-two logarithm,
 /// so that reports do not change with each sample.
-constexpr double told_step = 0.25;
+constexpr double report_step = 0.25;
 
-double weight_of(absl::Duration age) {
+double sample_weight(absl::Duration age) {
   return std::exp2(-absl::FDivDuration(age, speed_table::half_life));
 }
 
@@ -72,45 +72,45 @@
 /// Scales slowness by the number of samples behind it, so that the penalty of
 /// an endpoint grows and shrinks gradually.
 double scale_by_samples(double slowness, double samples) {
-  const double over = samples - speed_table::min_samples + 1;
-  const double part = std::clamp(over / speed_table::min_samples, 0.0, 1.0);
+  const double excess = samples - speed_table::min_samples + 1;
+  const double part = std::clamp(excess / speed_table::min_samples, 0.0, 1.0);
   return 1 + (slowness - 1) * part;
 }
 
 }  // namespace
 
-speed_table::record& speed_table::find_record(const endpoint_id& seen,
+speed_table::record& speed_table::find_record(const endpoint_id& id,
                                               absl::Time now) {
-  this->set_epoch(seen, now);
-  record& r = this->records[seen.endpoint];
-  r.kind = seen.kind;
-  r.epoch = seen.epoch;
+  this->set_epoch(id, now);
+  record& r = this->records[id.endpoint];
+  r.kind = id.kind;
+  r.epoch = id.epoch;
   if (r.samples.size() >= max_samples) r.samples.pop_front();
   return r;
 }
 
-void speed_table::add_sample(const endpoint_id& seen, double ratio,
+void speed_table::add_sample(const endpoint_id& id, double ratio,
                              absl::Time now) {
-  this->find_record(seen, now).samples.push_back({now, ratio, false});
+  this->find_record(id, now).samples.push_back({now, ratio, false});
 }
 
-void speed_table::add_unanswered(const endpoint_id& seen, double ratio,
+void speed_table::add_unanswered(const endpoint_id& id, double ratio,
                                  absl::Time now) {
-  if (ratio >= late_unanswered) this->add_sample(seen, ratio, now);
+  if (ratio >= min_unanswered_ratio) this->add_sample(id, ratio, now);
 }
 
-void speed_table::record_failure(const endpoint_id& seen, absl::Time now) {
-  this->find_record(seen, now).samples.push_back({now, 1, true});
+void speed_table::record_failure(const endpoint_id& id, absl::Time now) {
+  this->find_record(id, now).samples.push_back({now, 1, true});
 }
 
-void speed_table::set_epoch(const endpoint_id& seen, absl::Time now) {
-  const auto found = this->records.find(seen.endpoint);
-  if (found == this->records.end() || found->second.epoch == seen.epoch) return;
-  found->second.epoch = seen.epoch;
+void speed_table::set_epoch(const endpoint_id& id, absl::Time now) {
+  const auto found = this->records.find(id.endpoint);
+  if (found == this->records.end() || found->second.epoch == id.epoch) return;
+  found->second.epoch = id.epoch;
   found->second.samples.clear();
   found->second.ignore_peers_until = now + 2 * peer_timeout;
-  this->slow.erase(seen.endpoint);
-  this->refreshed = absl::InfinitePast();
+  this->slow.erase(id.endpoint);
+  this->last_refresh = absl::InfinitePast();
 }
 
 void speed_table::update_peer(const std::string& peer,
@@ -137,12 +137,12 @@
   });
 }
 
-speed_table::summary speed_table::sum_up(const record& r, absl::Time now) {
+speed_table::summary speed_table::summarize(const record& r, absl::Time now) {
   summary out;
   double failed = 0;
   std::vector<std::pair<double, double>> ratios;
   for (const auto& s : r.samples) {
-    const double weight = weight_of(now - s.at);
+    const double weight = sample_weight(now - s.at);
     out.weight += weight;
     if (s.failed) {
       failed += weight;
@@ -150,45 +150,48 @@
       ratios.emplace_back(s.ratio, weight);
     }
   }
-  out.timed = !ratios.empty();
+  out.has_latency = !ratios.empty();
   out.ratio = median_of(std::move(ratios));
   if (out.weight > 0) {
-    out.failed_share = std::max(0.0, failed - usual_failures) / out.weight;
+    out.failed_share = std::max(0.0, failed - tolerated_failures) / out.weight;
   }
   return out;
 }
 
-speed_table::by_place speed_table::compare(absl::Time now) const {
+speed_table::speed_map speed_table::compare(absl::Time now) const {
   std::map<std::string, summary> sums;
   std::map<std::string, std::vector<std::pair<double, double>>> ratios;
   std::map<std::string, std::vector<std::pair<double, double>>> failures;
   for (const auto& [endpoint, r] : this->records) {
     if (r.samples.empty()) continue;
-    const summary sum = sum_up(r, now);
+    const summary sum = summarize(r, now);
     sums[endpoint] = sum;
-    if (sum.timed) ratios[r.kind].emplace_back(sum.ratio, 1);
+    if (sum.has_latency) ratios[r.kind].emplace_back(sum.ratio, 1);
     failures[r.kind].emplace_back(sum.failed_share, 1);
   }
-  by_place out;
+  speed_map out;
   for (const auto& [endpoint, sum] : sums) {
     const std::string& kind = this->records.at(endpoint).kind;
-    const auto usual = ratios.find(kind);
+    const auto kind_ratios = ratios.find(kind);
     // There is no other endpoint to compare with.
     if (failures[kind].size() < 2) continue;
-    const bool compared = sum.timed && usual->second.size() >= 2;
-    const double median = compared ? median_of(usual->second) : 1;
-    const double late = compared && median > 0 ? sum.ratio / median : 1;
-    const double excess = std::max(
-        0.0, sum.failed_share - median_of(failures[kind]) - failures_by_chance);
-    const double slowness = clamp_slowness(late * (1 + failure_cost * excess));
+    const bool compared = sum.has_latency && kind_ratios->second.size() >= 2;
+    const double median = compared ? median_of(kind_ratios->second) : 1;
+    const double latency_ratio =
+        compared && median > 0 ? sum.ratio / median : 1;
+    const double excess =
+        std::max(0.0, sum.failed_share - median_of(failures[kind]) -
+                          tolerated_failure_excess);
+    const double slowness =
+        clamp_slowness(latency_ratio * (1 + failure_cost * excess));
     out[endpoint] = {endpoint, slowness,
                      static_cast<int>(std::lround(sum.weight))};
   }
   return out;
 }
 
-speed_table::by_place speed_table::combine(const by_place& seen,
-                                           absl::Time now) const {
+speed_table::speed_map speed_table::combine(const speed_map& measured,
+                                            absl::Time now) const {
   // Sums of logarithms and of samples.
   std::map<std::string, std::pair<double, double>> sums;
   const auto add = [&](const endpoint_speed& speed) {
@@ -196,18 +199,20 @@
     logs += std::log(clamp_slowness(speed.slowness)) * speed.samples;
     samples += speed.samples;
   };
-  for (const auto& [endpoint, speed] : seen) add(speed);
-  for (const auto& [name, word] : this->peers) {
-    for (const auto& speed : word.speeds) {
-      const auto own = seen.find(speed.endpoint);
-      if (own != seen.end() && own->second.samples >= enough_samples) continue;
+  for (const auto& [endpoint, speed] : measured) add(speed);
+  for (const auto& [name, report] : this->peers) {
+    for (const auto& speed : report.speeds) {
+      const auto own_speed = measured.find(speed.endpoint);
+      if (own_speed != measured.end() &&
+          own_speed->second.samples >= enough_samples)
+        continue;
       const auto known = this->records.find(speed.endpoint);
-      const bool old = known != this->records.end() &&
-                       now < known->second.ignore_peers_until;
-      if (speed.samples > 0 && !old) add(speed);
+      const bool stale = known != this->records.end() &&
+                         now < known->second.ignore_peers_until;
+      if (speed.samples > 0 && !stale) add(speed);
     }
   }
-  by_place out;
+  speed_map out;
   for (const auto& [endpoint, sum] : sums) {
     const auto& [logs, samples] = sum;
     const double slowness = scale_by_samples(std::exp(logs / samples), samples);
@@ -218,22 +223,23 @@
 }
 
 std::vector<endpoint_speed> speed_table::select_reported(
-    const by_place& seen) const {
-  by_place spoken_of;
-  for (const auto& [name, word] : this->peers) {
-    for (const auto& speed : word.speeds) {
-      if (speed.slowness >= slowness_to_tell) spoken_of[speed.endpoint] = speed;
+    const speed_map& measured) const {
+  speed_map reported_by_peers;
+  for (const auto& [name, report] : this->peers) {
+    for (const auto& speed : report.speeds) {
+      if (speed.slowness >= report_threshold)
+        reported_by_peers[speed.endpoint] = speed;
     }
   }
   std::vector<endpoint_speed> out;
-  for (const auto& [endpoint, speed] : seen) {
-    const bool slow_here = speed.slowness >= slowness_to_tell;
-    const bool tells = slow_here && speed.samples >= samples_to_tell;
-    const bool answers =
-        spoken_of.contains(endpoint) && speed.samples >= samples_to_answer;
-    if (!tells && !answers) continue;
-    const double step = std::round(std::log2(speed.slowness) / told_step);
-    out.push_back({endpoint, std::exp2(step * told_step), speed.samples});
+  for (const auto& [endpoint, speed] : measured) {
+    const bool slow_here = speed.slowness >= report_threshold;
+    const bool reports = slow_here && speed.samples >= min_samples_to_report;
+    const bool confirms = reported_by_peers.contains(endpoint) &&
+                          speed.samples >= min_samples_to_confirm;
+    if (!reports && !confirms) continue;
+    const double step = std::round(std::log2(speed.slowness) / report_step);
+    out.push_back({endpoint, std::exp2(step * report_step), speed.samples});
   }
   std::sort(out.begin(), out.end(), [](const auto& a, const auto& b) {
     return std::pair(-a.slowness, a.endpoint) <
@@ -243,13 +249,13 @@
   return out;
 }
 
-void speed_table::note_changes(const by_place& next, absl::Time now) {
+void speed_table::record_changes(const speed_map& next, absl::Time now) {
   const auto age = [&](const std::string& endpoint) {
     const auto found = this->records.find(endpoint);
-    const bool none =
+    const bool no_samples =
         found == this->records.end() || found->second.samples.empty();
-    return none ? absl::InfiniteDuration()
-                : now - found->second.samples.back().at;
+    return no_samples ? absl::InfiniteDuration()
+                      : now - found->second.samples.back().at;
   };
   for (const auto& [endpoint, speed] : next) {
     if (this->slow.contains(endpoint)) continue;
@@ -257,24 +263,24 @@
   }
   for (const auto& [endpoint, speed] : this->slow) {
     if (next.contains(endpoint)) continue;
-    endpoint_speed over = speed;
-    over.slowness = 1;
-    this->changes.push_back({over, age(endpoint)});
+    endpoint_speed recovered = speed;
+    recovered.slowness = 1;
+    this->changes.push_back({recovered, age(endpoint)});
   }
 }
 
 void speed_table::refresh(absl::Time now) {
-  if (now - this->refreshed < refresh_period) return;
-  this->refreshed = now;
+  if (now - this->last_refresh < refresh_period) return;
+  this->last_refresh = now;
   if (this->records.empty() && this->peers.empty() && this->slow.empty()) {
     this->current_report.clear();
     return;
   }
   this->expire(now);
-  const by_place seen = this->compare(now);
-  by_place next = this->combine(seen, now);
-  this->current_report = this->select_reported(seen);
-  this->note_changes(next, now);
+  const speed_map measured = this->compare(now);
+  speed_map next = this->combine(measured, now);
+  this->current_report = this->select_reported(measured);
+  this->record_changes(next, now);
   this->slow = std::move(next);
 }
 
@@ -293,9 +299,9 @@
   return std::exchange(this->changes, {});
 }
 
-size_t max_slow_endpoints(size_t places) {
-  if (places < 2) return 0;
-  const double share = most_slow_share * static_cast<double>(places);
+size_t max_slow_endpoints(size_t endpoints) {
+  if (endpoints < 2) return 0;
+  const double share = max_slow_fraction * static_cast<double>(endpoints);
   return std::max<size_t>(1, static_cast<size_t>(share));
 }
 
--- a/src/stall-detector.cc
+++ b/src/stall-detector.cc
@@ -15,21 +15,21 @@
 
 /// Added to the longest silence that the engine's figures explain before
 /// members are probed: network delay and late timers.
-constexpr absl::Duration ask_slack = absl::Milliseconds(70);
+constexpr absl::Duration silence_slack = absl::Milliseconds(70);
 
 /// Probe timeout: a live member responds within a few milliseconds.
-constexpr absl::Duration ask_limit = absl::Milliseconds(90);
+constexpr absl::Duration probe_timeout = absl::Milliseconds(90);
 
 /// Minimum interval between probes of one group by one node, since each probe
 /// has a cost.
-constexpr absl::Duration ask_again = absl::Milliseconds(600);
+constexpr absl::Duration min_probe_interval = absl::Milliseconds(600);
 
 /// A group that is silent for this long although all its members respond has
 /// members that do not reach each other.
-constexpr absl::Duration hopeless_silence = absl::Milliseconds(1200);
+constexpr absl::Duration max_unexplained_silence = absl::Milliseconds(1200);
 
 /// If the event loop itself was delayed for this long, silence proves nothing.
-constexpr absl::Duration own_pause = absl::Milliseconds(150);
+constexpr absl::Duration max_loop_delay = absl::Milliseconds(150);
 
 }  // namespace
 
@@ -48,11 +48,13 @@
     option.slowness =
         this->node.speeds.slowness(endpoint.group, this->node.now());
     // One pass reads at most this many tokens between its steps.
-    const double most_read = static_cast<double>(engine.decode_steps_per_pass) *
-                             engine.prefill_chunk;
-    const double read = std::min(load.pending_prefill_tokens, most_read) /
-                        engine.prefill_tokens_per_ms;
-    return absl::Milliseconds(model->pace * option.slowness * read +
+    const double max_prefill =
+        static_cast<double>(engine.decode_steps_per_pass) *
+        engine.prefill_chunk;
+    const double prefill_ms =
+        std::min(load.pending_prefill_tokens, max_prefill) /
+        engine.prefill_tokens_per_ms;
+    return absl::Milliseconds(model->pace * option.slowness * prefill_ms +
                               predict_event_gap_ms(engine, *model, option, 0));
   }
   return absl::ZeroDuration();
@@ -65,16 +67,18 @@
     if (ex->endpoint.group.empty()) continue;
     if (ex->aborted != abort_cause::none) continue;
     const auto [at, first] = groups.try_emplace(ex->endpoint.group);
-    group_activity& sight = at->second;
+    group_activity& activity = at->second;
     if (first) {
-      sight.endpoint = &ex->endpoint;
-      sight.expected_silence = this->predict_silence(ex->endpoint);
+      activity.endpoint = &ex->endpoint;
+      activity.expected_silence = this->predict_silence(ex->endpoint);
     }
-    sight.last_event = std::max(sight.last_event, ex->last_event);
+    activity.last_event = std::max(activity.last_event, ex->last_event);
     if (ex->waiting_for_caller) continue;
     const bool overdue = !ex->events_started && now > ex->first_event_deadline;
-    if (overdue) sight.first_sent = std::min(sight.first_sent, ex->sent_at);
-    if (ex->events_started || overdue) sight.expects_event = true;
+    if (overdue)
+      activity.first_overdue_sent =
+          std::min(activity.first_overdue_sent, ex->sent_at);
+    if (ex->events_started || overdue) activity.expects_event = true;
   }
   return groups;
 }
@@ -83,38 +87,41 @@
   const std::vector<exchange*> all(this->node.exchanges.begin(),
                                    this->node.exchanges.end());
   for (exchange* ex : all) {
-    if (ex->aborted == abort_cause::none && now >= ex->limit) {
+    if (ex->aborted == abort_cause::none && now >= ex->deadline) {
       ex->abort(abort_cause::time_up);
     }
   }
 }
 
 void stall_detector::check(absl::Time now) {
-  const bool held_up = now - this->last_check > own_pause;
+  const bool loop_delayed = now - this->last_check > max_loop_delay;
   this->last_check = now;
   this->end_overdue(now);
-  if (held_up || !this->node.routes) return;
-  for (const auto& [group, sight] : this->observe_groups(now)) {
-    if (sight.expects_event) this->check_group(group, sight, now);
+  if (loop_delayed || !this->node.routes) return;
+  for (const auto& [group, activity] : this->observe_groups(now)) {
+    if (activity.expects_event) this->check_group(group, activity, now);
   }
 }
 
 void stall_detector::check_group(const std::string& group,
-                                 const group_activity& sight, absl::Time now) {
-  const absl::Duration silence = sight.silence(now);
-  if (silence < sight.expected_silence + ask_slack) return;
-  absl::Time& last_asked =
+                                 const group_activity& activity,
+                                 absl::Time now) {
+  const absl::Duration silence = activity.silence(now);
+  if (silence < activity.expected_silence + silence_slack) return;
+  absl::Time& probed_at =
       this->last_probe.try_emplace(group, absl::InfinitePast()).first->second;
-  if (now - last_asked < ask_again) {
+  if (now - probed_at < min_probe_interval) {
     // Unresponsive members are found by their own probes.
-    const bool answered = now - last_asked > ask_limit + node_timing::tick;
-    const bool hopeless = answered && silence > hopeless_silence;
-    if (hopeless)
+    const bool probes_answered =
+        now - probed_at > probe_timeout + node_timing::tick;
+    const bool members_isolated =
+        probes_answered && silence > max_unexplained_silence;
+    if (members_isolated)
       this->abandon_group(group, "silent although all members respond");
     return;
   }
-  last_asked = now;
-  const endpoint_target endpoint = *sight.endpoint;
+  probed_at = now;
+  const endpoint_target endpoint = *activity.endpoint;
   for (const auto& id : endpoint.members) {
     net::co_spawn(this->node.loop, this->probe_member(group, id, true),
                   net::detached);
@@ -132,7 +139,7 @@
   const std::string address = entry->address;
   const http_request request = this->node.adapter.write_report_request(server);
   const fetch_result result =
-      co_await this->node.fetcher.fetch(address, request, ask_limit);
+      co_await this->node.fetcher.fetch(address, request, probe_timeout);
   if (result.status == fetch_status::ok &&
       this->node.adapter.read_report(result.response)) {
     co_return;
@@ -143,7 +150,7 @@
   this->abandon_group(group, absl::StrCat(server, " does not respond"), server);
 }
 
-bool stall_detector::uses(const std::string& group) const {
+bool stall_detector::has_exchange(const std::string& group) const {
   return std::any_of(this->node.exchanges.begin(), this->node.exchanges.end(),
                      [&](const exchange* ex) {
                        return ex->endpoint.group == group &&
@@ -151,23 +158,23 @@
                      });
 }
 
-void stall_detector::on_peer_suspicion(const suspicion& said) {
-  if (said.group.empty() || !this->uses(said.group)) return;
+void stall_detector::on_peer_suspicion(const suspicion& report) {
+  if (report.group.empty() || !this->has_exchange(report.group)) return;
   const absl::Time now = this->node.now();
-  absl::Time& last_asked =
-      this->last_probe.try_emplace(said.group, absl::InfinitePast())
+  absl::Time& probed_at =
+      this->last_probe.try_emplace(report.group, absl::InfinitePast())
           .first->second;
-  if (now - last_asked < ask_again) return;
-  last_asked = now;
-  for (const auto& id : said.servers) {
-    net::co_spawn(this->node.loop, this->probe_member(said.group, id, false),
+  if (now - probed_at < min_probe_interval) return;
+  probed_at = now;
+  for (const auto& id : report.servers) {
+    net::co_spawn(this->node.loop, this->probe_member(report.group, id, false),
                   net::detached);
   }
 }
 
 void stall_detector::abandon_group(const std::string& group,
-                                   const std::string& why,
-                                   const std::string& lost) {
+                                   const std::string& reason,
+                                   const std::string& unresponsive) {
   const absl::Time now = this->node.now();
   int streams = 0;
   const std::vector<exchange*> all(this->node.exchanges.begin(),
@@ -176,7 +183,7 @@
     if (ex->endpoint.group != group || ex->aborted != abort_cause::none)
       continue;
     ++streams;
-    ex->unresponsive_member = lost;
+    ex->unresponsive_member = unresponsive;
     ex->abort(abort_cause::stalled);
   }
   if (streams == 0 && this->node.avoided(group)) return;
@@ -184,7 +191,7 @@
   this->node.metrics.count_stall();
   this->node.log.state_change(
       "group_given_up",
-      {{"group", group}, {"why", why}, {"streams", absl::StrCat(streams)}},
+      {{"group", group}, {"why", reason}, {"streams", absl::StrCat(streams)}},
       now);
 }
 
--- a/src/stall-detector.h
+++ b/src/stall-detector.h
@@ -26,7 +26,7 @@
   /// Handles a peer's report that a group lost servers. If this node has
   /// streams there, it probes those servers at once; otherwise it would notice
   /// the silence up to half a second later and probe all members.
-  void on_peer_suspicion(const suspicion& said);
+  void on_peer_suspicion(const suspicion& report);
 
   /// Called with a server that does not respond.
   std::function<void(const std::string&)> on_suspect;
@@ -38,7 +38,7 @@
   struct group_activity {
     absl::Time last_event = absl::InfinitePast();
     /// When the first of the requests with an overdue first event was sent.
-    absl::Time first_sent = absl::InfiniteFuture();
+    absl::Time first_overdue_sent = absl::InfiniteFuture();
     /// Longest silence that the engine's figures explain.
     absl::Duration expected_silence;
     const endpoint_target* endpoint = nullptr;
@@ -50,18 +50,18 @@
     /// if there was no event.
     absl::Duration silence(absl::Time now) const {
       const bool none = this->last_event == absl::InfinitePast();
-      return now - (none ? this->first_sent : this->last_event);
+      return now - (none ? this->first_overdue_sent : this->last_event);
     }
   };
   /// Whether this node has an exchange with a group.
-  bool uses(const std::string& group) const;
+  bool has_exchange(const std::string& group) const;
   /// Aborts exchanges whose time is up.
   void end_overdue(absl::Time now);
   /// The state of all groups with exchanges, by name.
   std::map<std::string, group_activity> observe_groups(absl::Time now);
   /// Probes the members of a group that is silent for too long, or abandons the
   /// group.
-  void check_group(const std::string& group, const group_activity& sight,
+  void check_group(const std::string& group, const group_activity& activity,
                    absl::Time now);
   /// The longest silence of a group's streams that is no fault.
   absl::Duration predict_silence(const endpoint_target& endpoint) const;
@@ -70,10 +70,10 @@
   boost::asio::awaitable<void> probe_member(std::string group,
                                             std::string server,
                                             bool notify_peers);
-  /// Aborts all exchanges with a group and avoids it for a while; `lost` is the
-  /// unresponsive member, if one was found.
-  void abandon_group(const std::string& group, const std::string& why,
-                     const std::string& lost = "");
+  /// Aborts all exchanges with a group and avoids it for a while;
+  /// `unresponsive` is the unresponsive member, if one was found.
+  void abandon_group(const std::string& group, const std::string& reason,
+                     const std::string& unresponsive = "");
 
   node_context& node;
   absl::Time last_check = absl::InfinitePast();
--- a/test/admission-bench.cc
+++ b/test/admission-bench.cc
@@ -54,8 +54,8 @@
   while (id < waiting) admission.enqueue(bench_request(++id, now), now);
   const auto last = bench_request(id, now);
   for (auto _ : state) {
-    const auto answer = admission.decide(last, view, now, random);
-    if (answer.action != admission_action::wait) admission.enqueue(last, now);
+    const auto decision = admission.decide(last, view, now, random);
+    if (decision.action != admission_action::wait) admission.enqueue(last, now);
   }
   state.counters["waiting"] =
       static_cast<double>(admission.waiting("lm/small"));
--- a/test/admission-test.cc
+++ b/test/admission-test.cc
@@ -25,7 +25,7 @@
   EXPECT_EQ(large, 40);
 }
 
-TEST(fair_queue, a_flood_leaves_room_for_others) {
+TEST(fair_queue, one_workspace_cannot_fill_the_queue) {
   fair_queue queue;
   for (uint64_t i = 0; i < 100; i++) queue.push(waiting(i, "large", 1), 20);
   EXPECT_LT(queue.size(), 20U);
@@ -39,7 +39,7 @@
   EXPECT_EQ(queue.pop()->id, 2U);
 }
 
-TEST(fair_queue, expired_requests_leave) {
+TEST(fair_queue, expired_requests_are_removed) {
   fair_queue queue;
   for (uint64_t i = 1; i <= 4; i++) queue.push(waiting(i, "w", 1), 10);
   EXPECT_EQ(queue.expire(start + absl::Seconds(2)).size(), 2U);
@@ -56,19 +56,19 @@
   EXPECT_TRUE(bucket.try_consume(1, start + absl::Milliseconds(500)));
 }
 
-TEST(routing, a_prefix_stays_home_until_its_home_is_hot) {
+TEST(routing, a_prefix_keeps_its_target_until_that_is_overloaded) {
   std::vector<route_option> options = {
       {"a", 0, 0, 8, 8}, {"b", 0, 0, 8, 8}, {"c", 0, 0, 8, 8}};
   random_stream random;
-  const size_t home = *choose_route(options, 42, random);
+  const size_t preferred = *choose_route(options, 42, random);
   for (int i = 0; i < 20; i++) {
-    EXPECT_EQ(*choose_route(options, 42, random), home);
+    EXPECT_EQ(*choose_route(options, 42, random), preferred);
   }
-  options[home].in_flight = 6;
-  EXPECT_NE(*choose_route(options, 42, random), home);
+  options[preferred].in_flight = 6;
+  EXPECT_NE(*choose_route(options, 42, random), preferred);
 }
 
-TEST(routing, a_full_place_takes_nothing) {
+TEST(routing, a_full_target_receives_nothing) {
   const std::vector<route_option> options = {{"a", 8, 0, 8, 4},
                                              {"b", 4, 8, 8, 4}};
   random_stream random;
--- a/test/backoff-test.cc
+++ b/test/backoff-test.cc
@@ -8,27 +8,27 @@
 namespace spokesail {
 namespace {
 
-TEST(backoff, doubles_up_to_its_longest_and_starts_anew) {
+TEST(backoff, doubles_up_to_the_longest_delay_and_resets) {
   random_stream random{std::mt19937_64(1)};
   const absl::Duration first = absl::Milliseconds(100);
-  backoff pauses(first, absl::Milliseconds(800));
-  absl::Duration middle = first;
+  backoff delays(first, absl::Milliseconds(800));
+  absl::Duration nominal = first;
   for (int i = 0; i < 6; ++i) {
-    const absl::Duration pause = pauses.next(random);
-    EXPECT_GE(pause, 0.75 * middle);
-    EXPECT_LE(pause, 1.25 * middle);
-    middle = std::min(absl::Milliseconds(800), 2 * middle);
+    const absl::Duration delay = delays.next(random);
+    EXPECT_GE(delay, 0.75 * nominal);
+    EXPECT_LE(delay, 1.25 * nominal);
+    nominal = std::min(absl::Milliseconds(800), 2 * nominal);
   }
-  pauses.reset();
-  EXPECT_LE(pauses.next(random), 1.25 * first);
+  delays.reset();
+  EXPECT_LE(delays.next(random), 1.25 * first);
 }
 
-TEST(backoff, new_bounds_keep_what_was_reached_between_them) {
+TEST(backoff, new_bounds_clamp_the_current_delay) {
   random_stream random{std::mt19937_64(1)};
-  backoff pauses(absl::Milliseconds(100), absl::Milliseconds(200));
-  pauses.next(random);
-  pauses.set_bounds(absl::Milliseconds(600), absl::Milliseconds(2400));
-  EXPECT_GE(pauses.next(random), 0.75 * absl::Milliseconds(600));
+  backoff delays(absl::Milliseconds(100), absl::Milliseconds(200));
+  delays.next(random);
+  delays.set_bounds(absl::Milliseconds(600), absl::Milliseconds(2400));
+  EXPECT_GE(delays.next(random), 0.75 * absl::Milliseconds(600));
 }
 
 }  // namespace
--- a/test/byte-budget-test.cc
+++ b/test/byte-budget-test.cc
@@ -13,7 +13,7 @@
 
 constexpr size_t limit = 64 << 20;
 
-TEST(byte_budget, a_node_without_a_limit_takes_all) {
+TEST(byte_budget, without_a_limit_everything_is_accepted) {
   byte_budget budget(0);
   budget.add(limit);
   EXPECT_TRUE(budget.accepts_requests());
@@ -26,30 +26,30 @@
 /// the budget.
 TEST(byte_budget, answers_do_not_wait_for_each_other) {
   byte_budget budget(limit);
-  constexpr size_t whole = limit / 2;
+  constexpr size_t full_size = limit / 2;
   constexpr size_t chunk = 16 << 10;
   std::vector<std::unique_ptr<answer_charge>> answers;
   std::vector<size_t> sizes(4, 0);
   for (size_t i = 0; i < sizes.size(); ++i) {
     answers.push_back(std::make_unique<answer_charge>(budget));
   }
-  size_t most = 0;
-  size_t left = sizes.size();
-  for (size_t round = 0; left > 0 && round < 100000; ++round) {
+  size_t peak = 0;
+  size_t unfinished = sizes.size();
+  for (size_t round = 0; unfinished > 0 && round < 100000; ++round) {
     for (size_t i = 0; i < sizes.size(); ++i) {
       if (!answers[i] || !answers[i]->may_grow()) continue;
       answers[i]->set(sizes[i] += chunk);
-      if (sizes[i] < whole) continue;
+      if (sizes[i] < full_size) continue;
       answers[i].reset();
-      --left;
+      --unfinished;
     }
-    most = std::max(most, budget.held());
+    peak = std::max(peak, budget.held());
   }
-  EXPECT_EQ(left, 0U);
-  EXPECT_LE(most, limit + whole);
+  EXPECT_EQ(unfinished, 0U);
+  EXPECT_LE(peak, limit + full_size);
 }
 
-TEST(byte_budget, requests_are_taken_again_once_answers_have_been_read) {
+TEST(byte_budget, requests_are_accepted_again_once_answers_were_read) {
   byte_budget budget(limit);
   {
     byte_charge answer(budget);
@@ -77,7 +77,7 @@
   RC_ASSERT(budget.held() < limit + largest);
 }
 
-RC_GTEST_PROP(byte_budget, what_is_held_is_the_sum_of_what_is_there, ()) {
+RC_GTEST_PROP(byte_budget, held_bytes_are_the_sum_of_all_parts, ()) {
   byte_budget budget(limit);
   std::vector<std::unique_ptr<byte_charge>> parts;
   size_t sum = 0;
--- a/test/crashing-request-test.cc
+++ b/test/crashing-request-test.cc
@@ -13,9 +13,9 @@
 
 /// Maximum number of later sends, once this many servers have crashed and all
 /// nodes had time to learn of it.
-constexpr int most_later_sends = 3;
-constexpr size_t crashes_that_prove = 3;
-constexpr absl::Duration time_to_know = absl::Seconds(3);
+constexpr int max_later_sends = 3;
+constexpr size_t proving_crashes = 3;
+constexpr absl::Duration propagation_time = absl::Seconds(3);
 
 /// Three nodes and two domains of hosts.
 class crashing_request_test : public node_test {
@@ -31,7 +31,7 @@
 
   /// Sends the crashing request as a new attempt, once a group is there to run
   /// it.
-  unsigned send_guilty(int attempt) {
+  unsigned send_crashing(int attempt) {
     EXPECT_TRUE(this->wait_until([this, attempt] {
       node_context& state = this->nodes[attempt % node_count]->context();
       for (const auto& group : state.groups("lm")) {
@@ -39,7 +39,7 @@
       }
       return false;
     }));
-    auto out = stream_request(absl::StrCat("guilty-", attempt));
+    auto out = stream_request(absl::StrCat("crashing-", attempt));
     out.body() = "crash";
     return this->send_request(out, attempt % node_count).result_int();
   }
@@ -53,42 +53,42 @@
   }
 
   /// Sends it until enough servers have crashed to prove that it crashes them.
-  int prove() {
+  int crash_until_proved() {
     int attempt = 0;
-    while (this->crashes() < crashes_that_prove && attempt < 20) {
-      this->send_guilty(attempt++);
+    while (this->crashes() < proving_crashes && attempt < 20) {
+      this->send_crashing(attempt++);
     }
     return attempt;
   }
 };
 
-TEST_F(crashing_request_test, is_not_sent_on_by_any_node_once_it_is_known) {
+TEST_F(crashing_request_test, is_not_sent_by_any_node_once_it_is_known) {
   this->start_fleet();
-  int attempt = this->prove();
-  ASSERT_GE(this->crashes(), crashes_that_prove);
-  std::this_thread::sleep_for(absl::ToChronoMilliseconds(time_to_know));
+  int attempt = this->crash_until_proved();
+  ASSERT_GE(this->crashes(), proving_crashes);
+  std::this_thread::sleep_for(absl::ToChronoMilliseconds(propagation_time));
   const int before = this->sends();
-  for (int i = 0; i < 2 * node_count; ++i) this->send_guilty(attempt++);
-  EXPECT_LE(this->sends() - before, most_later_sends);
+  for (int i = 0; i < 2 * node_count; ++i) this->send_crashing(attempt++);
+  EXPECT_LE(this->sends() - before, max_later_sends);
 }
 
-TEST_F(crashing_request_test, is_refused_as_one_that_has_not_run) {
+TEST_F(crashing_request_test, is_refused_as_not_run) {
   this->start_fleet();
-  int attempt = this->prove();
-  std::this_thread::sleep_for(absl::ToChronoMilliseconds(time_to_know));
+  int attempt = this->crash_until_proved();
+  std::this_thread::sleep_for(absl::ToChronoMilliseconds(propagation_time));
   for (int i = 0; i < node_count; ++i) {
-    EXPECT_EQ(this->send_guilty(attempt++), 503U);
+    EXPECT_EQ(this->send_crashing(attempt++), 503U);
   }
 }
 
 TEST_F(crashing_request_test, does_no_harm_to_others_once_it_is_known) {
   this->start_fleet();
-  int attempt = this->prove();
-  std::this_thread::sleep_for(absl::ToChronoMilliseconds(time_to_know));
+  int attempt = this->crash_until_proved();
+  std::this_thread::sleep_for(absl::ToChronoMilliseconds(propagation_time));
   ASSERT_TRUE(
       this->wait_until([this] { return this->fleet->serving("large") >= 2; }));
   for (int i = 0; i < 2 * node_count; ++i) {
-    this->send_guilty(attempt++);
+    this->send_crashing(attempt++);
     const auto answer = this->send_request(stream_request(absl::StrCat("r", i)),
                                            i % node_count);
     EXPECT_EQ(event_ids(answer.body()), all_ids());
@@ -97,7 +97,7 @@
 
 TEST_F(crashing_request_test, is_known_to_a_node_that_starts_later) {
   this->start_fleet();
-  this->prove();
+  this->crash_until_proved();
   this->on_loop([this] {
     this->add_node("node-late");
     return 0;
@@ -110,21 +110,22 @@
   }));
 }
 
-TEST_F(crashing_request_test, is_not_what_met_servers_that_were_gone_before) {
+TEST_F(crashing_request_test,
+       is_not_one_sent_to_servers_that_had_ended_before) {
   this->start_fleet();
   const auto send = [this](const std::string& id, const std::string& body) {
     auto out = stream_request(id);
     out.body() = body;
     return event_ids(this->send_request(out).body());
   };
-  for (int i = 0; i < 30 && this->crashes() < crashes_that_prove; ++i) {
+  for (int i = 0; i < 30 && this->crashes() < proving_crashes; ++i) {
     // Leaves kept connections to the groups that serve now.
     for (int k = 0; k < 10; ++k) send(absl::StrCat("first-", i, "-", k), "");
     this->on_loop([this] { return this->fleet->faults.end_on_kept = true; });
     EXPECT_EQ(send(absl::StrCat("again-", i), "the same each time"), all_ids());
     this->on_loop([this] { return this->fleet->faults.end_on_kept = false; });
   }
-  EXPECT_GE(this->crashes(), crashes_that_prove);
+  EXPECT_GE(this->crashes(), proving_crashes);
   EXPECT_TRUE(this->on_loop([this] {
     return this->nodes[0]->context().crashes.requests_over_threshold().empty();
   }));
--- a/test/repeat-limit-test.cc
+++ b/test/repeat-limit-test.cc
@@ -14,13 +14,13 @@
   for (const auto& run : runs) {
     if (!seen.insert(run.id).second) retries.push_back(run.at);
   }
-  size_t most = 0;
+  size_t max_in_window = 0;
   size_t first = 0;
   for (size_t i = 0; i < retries.size(); ++i) {
     while (retries[i] - retries[first] > window) ++first;
-    most = std::max(most, i - first + 1);
+    max_in_window = std::max(max_in_window, i - first + 1);
   }
-  return static_cast<int>(most);
+  return static_cast<int>(max_in_window);
 }
 
 class repeat_limit_test : public node_test {
@@ -44,7 +44,7 @@
     }
   }
 
-  int most_repeats_seen() {
+  int max_retries_seen() {
     return this->on_loop([this] {
       return max_retries(this->fleet->record.all_runs, this->retries.window);
     });
@@ -58,7 +58,7 @@
 };
 
 // Guards against a budget that starts full in each new process.
-TEST_F(repeat_limit_test, processes_that_start_add_nothing_to_the_budget) {
+TEST_F(repeat_limit_test, new_processes_add_nothing_to_the_budget) {
   this->retries = {0.1, absl::Seconds(4), 20};
   this->start(2);
   this->wait_for_window();
@@ -74,16 +74,16 @@
            this->nodes[3]->context().ready();
   }));
   for (int node = 2; node < 4; ++node) this->send_failing(node, 30);
-  EXPECT_LE(this->most_repeats_seen(), this->allowed());
-  EXPECT_GT(this->most_repeats_seen(), 0);
+  EXPECT_LE(this->max_retries_seen(), this->allowed());
+  EXPECT_GT(this->max_retries_seen(), 0);
 }
 
 // Guards against dividing the slack by too few nodes in a network partition.
-TEST_F(repeat_limit_test, a_node_that_hears_nobody_spends_no_others_part) {
-  constexpr int others = 3;
+TEST_F(repeat_limit_test, a_partitioned_node_uses_only_its_own_share) {
+  constexpr int other_nodes = 3;
   constexpr int calls = 30;
   this->retries = {0.1, absl::Seconds(4), 20};
-  for (int i = 0; i < others; ++i) {
+  for (int i = 0; i < other_nodes; ++i) {
     this->fleet->enroll_node(
         absl::StrCat("unheard-", i),
         {{"address", free_address()}, {"hall", "hall"}, {"cores", 1}});
@@ -92,13 +92,13 @@
   this->wait_for_window();
   this->on_loop([this] { return this->fleet->faults.fail_plain_calls = 1000; });
   this->send_failing(0, calls);
-  const double part = this->retries.slack / (1 + others);
-  EXPECT_LE(this->most_repeats_seen(), this->retries.ratio * calls + part);
-  EXPECT_GT(this->most_repeats_seen(), 0);
+  const double share = this->retries.slack / (1 + other_nodes);
+  EXPECT_LE(this->max_retries_seen(), this->retries.ratio * calls + share);
+  EXPECT_GT(this->max_retries_seen(), 0);
 }
 
 // Guards against unreachable servers that use up retries.
-TEST_F(repeat_limit_test, servers_that_are_not_reached_cost_no_repeats) {
+TEST_F(repeat_limit_test, unreachable_servers_use_up_no_retries) {
   this->retries = {0, absl::Seconds(1), 100};
   this->keys_fail_closed = false;
   this->start(1);
@@ -106,29 +106,31 @@
   this->on_loop([this] { return this->fleet->faults.store_silent = true; });
   this->wait_for_window();
   node_context& state = this->nodes[0]->context();
-  std::string lost;
+  std::string stopped;
   std::string service;
   this->on_loop([&] {
     for (const auto& [id, server] : state.directory.servers()) {
       if (server.entry.service == "lm") continue;
-      lost = id;
+      stopped = id;
       service = server.entry.service;
     }
-    this->fleet->kill(lost);
+    this->fleet->kill(stopped);
     return 0;
   });
-  ASSERT_FALSE(lost.empty());
-  const auto met = [&] { return state.suspected_servers.count(lost) != 0; };
-  for (int i = 0; i < 50 && !this->on_loop(met); ++i) {
+  ASSERT_FALSE(stopped.empty());
+  const auto is_suspected = [&] {
+    return state.suspected_servers.count(stopped) != 0;
+  };
+  for (int i = 0; i < 50 && !this->on_loop(is_suspected); ++i) {
     const auto id = absl::StrCat("call-", i);
     EXPECT_EQ(this->send_request(request(id, "/look/minutes")).result_int(),
               200U);
   }
-  ASSERT_TRUE(this->on_loop(met));
-  const auto account = this->on_loop(
-      [&] { return state.retries.account(service, 1, state.now()); });
-  EXPECT_EQ(account.retries, 0);
-  EXPECT_EQ(account.reserved, 0);
+  ASSERT_TRUE(this->on_loop(is_suspected));
+  const auto usage = this->on_loop(
+      [&] { return state.retries.usage(service, 1, state.now()); });
+  EXPECT_EQ(usage.retries, 0);
+  EXPECT_EQ(usage.reserved, 0);
 }
 
 /// One group and one spare.
@@ -138,7 +140,7 @@
 };
 
 // Guards against streams that pass the budget together and are retried later.
-TEST_F(one_group_limit_test, streams_of_a_lost_group_keep_the_budget) {
+TEST_F(one_group_limit_test, streams_of_a_lost_group_stay_within_the_budget) {
   constexpr int streams = 8;
   this->retries = {0, absl::Seconds(3), 2};
   this->start(1, 1);
@@ -164,8 +166,8 @@
     boost::system::error_code ignored;
     http::read(socket, buffer, in, ignored);
   }
-  EXPECT_LE(this->most_repeats_seen(), this->retries.slack);
-  EXPECT_GT(this->most_repeats_seen(), 0);
+  EXPECT_LE(this->max_retries_seen(), this->retries.slack);
+  EXPECT_GT(this->max_retries_seen(), 0);
 }
 
 }  // namespace
