--- a/test/request-admission-test.cc
+++ b/test/request-admission-test.cc
@@ -31,7 +31,7 @@
 }
 
 /// One node's admission, with groups whose load the test sets.
-struct node_before_groups {
+struct node_with_groups {
   engine_profile engine = test_engine();
   std::vector<group_option> options;
   request_admission admission;
@@ -40,8 +40,8 @@
   uint64_t last_id = 0;
   int nodes = 1;
 
-  admission_request ask(const std::string& workspace = "w", int rank = 3,
-                        absl::Duration goal = 250 * ms) {
+  admission_request make_request(const std::string& workspace = "w",
+                                 int rank = 3, absl::Duration goal = 250 * ms) {
     admission_request out;
     out.id = ++this->last_id;
     out.pool = "lm/small";
@@ -83,7 +83,7 @@
   void arrivals(double per_s, absl::Duration time) {
     const absl::Time until = this->now + time;
     while (this->now < until) {
-      const admission_request request = this->ask();
+      const admission_request request = this->make_request();
       this->enter_and_decide(request);
       this->admission.dequeue(request);
       this->now += absl::Seconds(1 / per_s);
@@ -91,75 +91,76 @@
   }
 };
 
-TEST(prediction_error, is_zero_until_some_were_seen) {
+TEST(prediction_error, is_zero_with_few_samples) {
   prediction_error error;
-  for (int i = 0; i < 4; ++i) error.note(100, 220, start);
+  for (int i = 0; i < 4; ++i) error.add_sample(100, 220, start);
   EXPECT_EQ(error.expected_ms(start), 0);
-  error.note(100, 220, start);
+  error.add_sample(100, 220, start);
   EXPECT_EQ(error.expected_ms(start), 120);
 }
 
-TEST(prediction_error, is_not_moved_by_a_few_that_stand_still) {
+TEST(prediction_error, is_not_affected_by_a_few_stalled_groups) {
   prediction_error error;
-  for (int i = 0; i < 20; ++i) error.note(100, 220, start);
-  for (int i = 0; i < 9; ++i) error.note(100, 4000, start);
+  for (int i = 0; i < 20; ++i) error.add_sample(100, 220, start);
+  for (int i = 0; i < 9; ++i) error.add_sample(100, 4000, start);
   EXPECT_EQ(error.expected_ms(start), 120);
 }
 
-TEST(prediction_error, is_forgotten_with_time) {
+TEST(prediction_error, expires_with_time) {
   prediction_error error;
-  for (int i = 0; i < 20; ++i) error.note(100, 220, start);
-  EXPECT_EQ(error.expected_ms(start + prediction_error::memory + ms), 0);
+  for (int i = 0; i < 20; ++i) error.add_sample(100, 220, start);
+  EXPECT_EQ(error.expected_ms(start + prediction_error::max_sample_age + ms),
+            0);
 }
 
-TEST(request_admission, sends_what_can_be_in_time_to_where_it_can) {
-  node_before_groups node;
+TEST(request_admission, sends_to_the_group_where_the_request_is_in_time) {
+  node_with_groups node;
   node.fill(4, 20, 20000);
   node.options[2].pending_prefill_tokens = 0;
-  const auto answer = node.enter_and_decide(node.ask());
+  const auto answer = node.enter_and_decide(node.make_request());
   EXPECT_EQ(answer.action, admission_action::send);
   EXPECT_EQ(answer.option, 2U);
   EXPECT_FALSE(answer.late);
 }
 
-TEST(request_admission, counts_the_learned_error_as_time) {
-  node_before_groups node;
+TEST(request_admission, adds_the_learned_error_to_the_prediction) {
+  node_with_groups node;
   node.fill(1, 10, 6000);
-  EXPECT_FALSE(node.enter_and_decide(node.ask()).late);
+  EXPECT_FALSE(node.enter_and_decide(node.make_request()).late);
   for (int i = 0; i < 9; ++i) {
-    node.admission.note_first_event("lm/small", 100, 220, node.now);
+    node.admission.record_first_event("lm/small", 100, 220, node.now);
   }
-  const auto answer = node.enter_and_decide(node.ask());
+  const auto answer = node.enter_and_decide(node.make_request());
   EXPECT_EQ(answer.error_ms, 120);
   EXPECT_EQ(answer.timely_slots, 0);
 }
 
-TEST(request_admission, counts_what_has_passed) {
-  node_before_groups node;
+TEST(request_admission, counts_the_time_already_waited) {
+  node_with_groups node;
   node.fill(1, 10, 6000);
-  const auto request = node.ask();
+  const auto request = node.make_request();
   EXPECT_TRUE(node.admission.enqueue(request, node.now));
   node.now += 100 * ms;
   EXPECT_EQ(node.decide(request).timely_slots, 0);
 }
 
-TEST(request_admission, waits_only_where_a_place_will_be_free_in_time) {
-  node_before_groups node;
+TEST(request_admission, waits_only_if_a_slot_becomes_free_in_time) {
+  node_with_groups node;
   node.fill(1, 34);
-  const auto patient = node.ask("w", 3, 500 * ms);
-  const auto soon = node.enter_and_decide(patient);
-  EXPECT_EQ(soon.action, admission_action::wait);
-  EXPECT_GT(soon.expected_wait, absl::ZeroDuration());
-  const auto hurried = node.ask("w", 3, 60 * ms);
-  const auto never = node.enter_and_decide(hurried);
-  EXPECT_EQ(never.action, admission_action::refuse);
-  EXPECT_STREQ(never.reason, "no group has room");
+  const auto long_goal = node.make_request("w", 3, 500 * ms);
+  const auto will_wait = node.enter_and_decide(long_goal);
+  EXPECT_EQ(will_wait.action, admission_action::wait);
+  EXPECT_GT(will_wait.expected_wait, absl::ZeroDuration());
+  const auto short_goal = node.make_request("w", 3, 60 * ms);
+  const auto refused = node.enter_and_decide(short_goal);
+  EXPECT_EQ(refused.action, admission_action::refuse);
+  EXPECT_STREQ(refused.reason, "no group has room");
 }
 
-TEST(request_admission, ends_a_wait_that_turns_hopeless_at_once) {
-  node_before_groups node;
+TEST(request_admission, refuses_at_once_when_waiting_becomes_useless) {
+  node_with_groups node;
   node.fill(1, 34);
-  const auto request = node.ask("w", 3, 300 * ms);
+  const auto request = node.make_request("w", 3, 300 * ms);
   EXPECT_EQ(node.enter_and_decide(request).action, admission_action::wait);
   node.options[0].running = 70;
   node.now += 5 * ms;
@@ -168,33 +169,33 @@
 }
 
 TEST(request_admission, no_wait_outlasts_its_bound) {
-  node_before_groups node;
+  node_with_groups node;
   node.fill(1, 34);
-  const auto request = node.ask("w", 3, absl::Seconds(2));
+  const auto request = node.make_request("w", 3, absl::Seconds(2));
   EXPECT_EQ(node.enter_and_decide(request).action, admission_action::wait);
   node.now += admission_limits{}.wait;
   EXPECT_EQ(node.decide(request).action, admission_action::refuse);
 }
 
-TEST(request_admission, callers_that_leave_are_out_at_once) {
-  node_before_groups node;
+TEST(request_admission, callers_that_disconnect_are_removed_at_once) {
+  node_with_groups node;
   node.fill(1, 34);
-  const auto leaves = node.ask("w", 0, 500 * ms);
-  const auto stays = node.ask("w", 3, 500 * ms);
-  EXPECT_EQ(node.enter_and_decide(leaves).action, admission_action::wait);
+  const auto disconnects = node.make_request("w", 0, 500 * ms);
+  const auto stays = node.make_request("w", 3, 500 * ms);
+  EXPECT_EQ(node.enter_and_decide(disconnects).action, admission_action::wait);
   EXPECT_EQ(node.enter_and_decide(stays).action, admission_action::wait);
-  node.admission.dequeue(leaves);
+  node.admission.dequeue(disconnects);
   EXPECT_EQ(node.admission.waiting_bytes(), 1000U);
   node.options[0].running = 10;
   EXPECT_EQ(node.decide(stays).action, admission_action::send);
   EXPECT_EQ(node.admission.waiting_bytes(), 0U);
 }
 
-TEST(request_admission, urgent_goes_before_not_urgent) {
-  node_before_groups node;
+TEST(request_admission, urgent_requests_go_first) {
+  node_with_groups node;
   node.fill(1, 34);
-  const auto usual = node.ask("a", 6, 500 * ms);
-  const auto urgent = node.ask("b", 0, 500 * ms);
+  const auto usual = node.make_request("a", 6, 500 * ms);
+  const auto urgent = node.make_request("b", 0, 500 * ms);
   node.enter_and_decide(usual);
   node.enter_and_decide(urgent);
   node.options[0].running = 10;
@@ -204,64 +205,65 @@
 }
 
 TEST(request_admission, refuses_what_would_make_others_late_in_a_burst) {
-  node_before_groups node;
+  node_with_groups node;
   node.fill(1, 20);
   node.arrivals(80, absl::Seconds(4));
   node.fill(1, 20, 12000);
-  const auto answer = node.enter_and_decide(node.ask());
+  const auto answer = node.enter_and_decide(node.make_request());
   EXPECT_EQ(answer.action, admission_action::refuse);
   EXPECT_STREQ(answer.reason, "would be late");
 }
 
-TEST(request_admission, serves_late_where_hardly_anybody_comes) {
-  node_before_groups node;
+TEST(request_admission, serves_late_requests_in_light_traffic) {
+  node_with_groups node;
   node.fill(1, 20, 12000);
-  const auto answer = node.enter_and_decide(node.ask());
+  const auto answer = node.enter_and_decide(node.make_request());
   EXPECT_EQ(answer.action, admission_action::send);
   EXPECT_TRUE(answer.late);
 }
 
-TEST(request_admission, what_is_late_by_itself_harms_nobody_in_a_calm_group) {
-  node_before_groups node;
+TEST(request_admission,
+     an_already_late_request_delays_nobody_in_a_lightly_loaded_group) {
+  node_with_groups node;
   node.fill(1, 5);
   node.arrivals(20, absl::Seconds(4));
-  auto request = node.ask();
+  auto request = node.make_request();
   request.due = node.now + 20 * ms;
   const auto answer = node.enter_and_decide(request);
   EXPECT_EQ(answer.action, admission_action::send);
   EXPECT_TRUE(answer.late);
 }
 
-TEST(request_admission, refused_callers_come_back_in_order_and_do_not_meet) {
-  node_before_groups node;
+TEST(request_admission, refused_callers_return_in_order_at_distinct_times) {
+  node_with_groups node;
   node.nodes = 83;
   node.fill(15, 34);
-  std::vector<absl::Duration> told;
+  std::vector<absl::Duration> delays;
   for (int i = 0; i < 8; ++i) {
-    const auto answer =
-        node.enter_and_decide(node.ask(absl::StrCat("w", i), 3, 60 * ms));
+    const auto answer = node.enter_and_decide(
+        node.make_request(absl::StrCat("w", i), 3, 60 * ms));
     ASSERT_EQ(answer.action, admission_action::refuse);
     EXPECT_LE(answer.retry_after, absl::Seconds(2));
-    told.push_back(answer.retry_after);
+    delays.push_back(answer.retry_after);
   }
-  EXPECT_TRUE(std::is_sorted(told.begin(), told.end()));
-  EXPECT_EQ(std::set(told.begin(), told.end()).size(), told.size());
+  EXPECT_TRUE(std::is_sorted(delays.begin(), delays.end()));
+  EXPECT_EQ(std::set(delays.begin(), delays.end()).size(), delays.size());
 }
 
-TEST(request_admission, nobody_is_told_more_than_a_third_of_its_time) {
-  node_before_groups node;
+TEST(request_admission, no_retry_delay_exceeds_a_third_of_the_time_left) {
+  node_with_groups node;
   node.nodes = 400;
   node.fill(2, 34);
-  std::set<absl::Duration> told;
+  std::set<absl::Duration> delays;
   for (int i = 0; i < 60; ++i) {
-    const auto answer =
-        node.enter_and_decide(node.ask(absl::StrCat("w", i), 3, 60 * ms));
+    const auto answer = node.enter_and_decide(
+        node.make_request(absl::StrCat("w", i), 3, 60 * ms));
     ASSERT_EQ(answer.action, admission_action::refuse);
     EXPECT_GT(answer.retry_after, absl::ZeroDuration());
     EXPECT_LE(answer.retry_after, absl::Seconds(2));
-    told.insert(answer.retry_after);
+    delays.insert(answer.retry_after);
   }
-  EXPECT_EQ(told.size(), 60U);
+  EXPECT_EQ(delays.size(), 60U);
 }
 
 TEST(request_admission, one_workspace_with_half_of_the_traffic_gets_its_share) {
@@ -283,7 +285,7 @@
   }
 }
 
-TEST(request_admission, callers_that_repeat_at_once_take_from_themselves) {
+TEST(request_admission, callers_that_retry_at_once_use_up_their_own_turns) {
   fair_queue queue(queue_policy{true, 5});
   std::map<std::string, int> turns;
   uint64_t id = 0;
@@ -299,31 +301,31 @@
   EXPECT_GE(turns["waits"], 95);
 }
 
-TEST(request_admission, who_comes_back_too_early_goes_after_who_waited) {
-  node_before_groups node;
+TEST(request_admission, callers_that_return_early_go_after_those_that_waited) {
+  node_with_groups node;
   node.fill(1, 34);
-  auto early = node.ask("w", 3, 60 * ms);
+  auto early = node.make_request("w", 3, 60 * ms);
   early.caller = "early";
-  auto kept = node.ask("w", 3, 60 * ms);
-  kept.caller = "kept";
+  auto on_time = node.make_request("w", 3, 60 * ms);
+  on_time.caller = "kept";
   ASSERT_EQ(node.enter_and_decide(early).action, admission_action::refuse);
-  const auto told = node.enter_and_decide(kept);
-  ASSERT_EQ(told.action, admission_action::refuse);
+  const auto refusal = node.enter_and_decide(on_time);
+  ASSERT_EQ(refusal.action, admission_action::refuse);
   // The early caller returns at once and is refused, then returns with the
   // other.
-  early = node.ask("w", 3, 60 * ms);
+  early = node.make_request("w", 3, 60 * ms);
   early.caller = "early";
   ASSERT_EQ(node.enter_and_decide(early).action, admission_action::refuse);
-  node.now += told.retry_after;
-  early = node.ask("w", 3, 500 * ms);
+  node.now += refusal.retry_after;
+  early = node.make_request("w", 3, 500 * ms);
   early.caller = "early";
-  kept = node.ask("w", 3, 500 * ms);
-  kept.caller = "kept";
+  on_time = node.make_request("w", 3, 500 * ms);
+  on_time.caller = "kept";
   node.enter_and_decide(early);
-  node.enter_and_decide(kept);
+  node.enter_and_decide(on_time);
   node.options[0].running = 10;
   EXPECT_EQ(node.decide(early).action, admission_action::wait);
-  EXPECT_EQ(node.decide(kept).action, admission_action::send);
+  EXPECT_EQ(node.decide(on_time).action, admission_action::send);
 }
 
 /// The largest number of turns for which a kind of a workspace went without one
@@ -352,7 +354,7 @@
   return longest;
 }
 
-std::vector<int> some_ranks() {
+std::vector<int> arbitrary_ranks() {
   auto ranks = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 10));
   ranks.push_back(0);
   ranks.push_back(9);
@@ -362,19 +364,19 @@
   return ranks;
 }
 
-RC_GTEST_PROP(admission_queue, nobody_starves, ()) {
-  const auto ranks = some_ranks();
+RC_GTEST_PROP(admission_queue, no_kind_starves, ()) {
+  const auto ranks = arbitrary_ranks();
   RC_ASSERT(longest_without_turn({true, 5}, ranks) <= 5 * ranks.size());
 }
 
-RC_GTEST_PROP(admission_queue, without_the_floor_somebody_starves, ()) {
-  const auto ranks = some_ranks();
+RC_GTEST_PROP(admission_queue, without_the_guard_some_kind_starves, ()) {
+  const auto ranks = arbitrary_ranks();
   RC_ASSERT(longest_without_turn({true, 0}, ranks) > 5 * ranks.size());
 }
 
-RC_GTEST_PROP(admission_queue, holds_its_bounds, ()) {
+RC_GTEST_PROP(admission_queue, stays_within_its_bounds, ()) {
   const admission_limits limits{8, 5000, 100 * ms};
-  node_before_groups node;
+  node_with_groups node;
   node.admission = request_admission(limits);
   node.fill(1, 34);
   std::vector<admission_request> waiting;
@@ -386,18 +388,19 @@
       node.admission.dequeue(waiting.back());
       waiting.pop_back();
     } else {
-      auto request = node.ask(absl::StrCat("w", step % 4), step % 10, 500 * ms);
+      auto request =
+          node.make_request(absl::StrCat("w", step % 4), step % 10, 500 * ms);
       request.bytes = 100 * step;
       if (node.admission.enqueue(request, node.now)) waiting.push_back(request);
     }
     RC_ASSERT(node.admission.waiting("lm/small") <= limits.entries);
     RC_ASSERT(node.admission.waiting_bytes() <= limits.bytes);
     std::erase_if(waiting, [&](const auto& request) {
-      const bool over = node.now - request.arrived >= limits.wait;
-      if (over) {
+      const bool timed_out = node.now - request.arrived >= limits.wait;
+      if (timed_out) {
         RC_ASSERT(node.decide(request).action != admission_action::wait);
       }
-      return over;
+      return timed_out;
     });
   }
   for (const auto& request : waiting) node.admission.dequeue(request);
@@ -406,15 +409,15 @@
 }
 
 /// Nodes that decide on outdated load of the same groups.
-struct nodes_with_old_news {
-  explicit nodes_with_old_news(size_t count) : nodes(count) {
+struct nodes_with_stale_load {
+  explicit nodes_with_stale_load(size_t count) : nodes(count) {
     for (size_t i = 0; i < count; ++i) {
       this->nodes[i].random.engine.seed(i + 1);
       this->nodes[i].nodes = static_cast<int>(count);
       this->nodes[i].last_id = i * 1000000;
     }
   }
-  std::vector<node_before_groups> nodes;
+  std::vector<node_with_groups> nodes;
 };
 
 /// The largest number of requests that any of 15 groups held at once, with 83
@@ -422,7 +425,7 @@
 int most_in_one_group(double per_s, absl::Duration load_age) {
   constexpr size_t groups = 15;
   constexpr size_t count = 83;
-  nodes_with_old_news fleet(count);
+  nodes_with_stale_load fleet(count);
   random_stream random{std::mt19937_64(7)};
   const engine_profile engine = test_engine();
   struct sent {
@@ -431,15 +434,15 @@
   };
   std::vector<sent> all;
   std::vector<std::vector<admission_request>> waiting(count);
-  int most = 0;
-  const absl::Duration held = absl::Milliseconds(1500);
+  int max_held = 0;
+  const absl::Duration hold_time = absl::Milliseconds(1500);
   for (absl::Time now = start; now < start + absl::Seconds(6); now += 5 * ms) {
-    std::erase_if(all, [&](const auto& s) { return now - s.at > held; });
-    std::vector<int> known(groups);
+    std::erase_if(all, [&](const auto& s) { return now - s.at > hold_time; });
+    std::vector<int> reported(groups);
     std::vector<double> unread(groups);
     for (const auto& s : all) {
       if (now - s.at < load_age) continue;
-      known[s.group]++;
+      reported[s.group]++;
       if (now - s.at < 120 * ms) unread[s.group] += 714;
     }
     for (size_t n = 0; n < count; ++n) {
@@ -447,11 +450,11 @@
       node.now = now;
       node.fill(groups, 0);
       for (size_t g = 0; g < groups; ++g) {
-        node.options[g].running = known[g];
+        node.options[g].running = reported[g];
         node.options[g].pending_prefill_tokens = unread[g];
       }
       if (random.unit() < per_s / count * 0.005) {
-        const auto request = node.ask();
+        const auto request = node.make_request();
         if (node.admission.enqueue(request, now)) waiting[n].push_back(request);
       }
       std::erase_if(waiting[n], [&](const auto& request) {
@@ -464,20 +467,21 @@
     }
     std::vector<int> held_by(groups);
     for (const auto& s : all) held_by[s.group]++;
-    most = std::max(most, *std::max_element(held_by.begin(), held_by.end()));
+    max_held =
+        std::max(max_held, *std::max_element(held_by.begin(), held_by.end()));
   }
-  return most;
+  return max_held;
 }
 
 /// Maximum number of requests sent to a group beyond its slots: twice the
 /// arrivals for one group within 100 ms, the time until all nodes know of them.
-constexpr int stated_excess = 12;
+constexpr int max_excess = 12;
 
-TEST(request_admission, nodes_do_not_send_more_than_places_hold) {
+TEST(request_admission, nodes_do_not_exceed_the_slots_by_much) {
   for (const int age : {25, 50, 100}) {
-    const int most = most_in_one_group(2.5 * 347, age * ms);
-    EXPECT_LE(most, test_engine().slots + stated_excess) << age << " ms";
-    EXPECT_GE(most, test_engine().slots / 2) << age << " ms";
+    const int max_held = most_in_one_group(2.5 * 347, age * ms);
+    EXPECT_LE(max_held, test_engine().slots + max_excess) << age << " ms";
+    EXPECT_GE(max_held, test_engine().slots / 2) << age << " ms";
   }
 }
 
--- a/test/request-policy-test.cc
+++ b/test/request-policy-test.cc
@@ -53,7 +53,7 @@
   return choose_group(e, e.models.front(), options, {1000, 100}, random);
 }
 
-TEST(choose_group, avoids_a_group_that_has_prompts_to_read) {
+TEST(choose_group, avoids_a_group_with_pending_prefill) {
   EXPECT_EQ(choose({{"a", 2, 6000, 1, 0}, {"b", 2, 0, 1, 0}}), 1U);
 }
 
@@ -61,16 +61,16 @@
   EXPECT_EQ(choose({{"a", 1, 0, 4, 0}, {"b", 2, 0, 1, 0}}), 1U);
 }
 
-TEST(choose_group, prefers_near_groups_unless_they_are_busy) {
+TEST(choose_group, prefers_local_groups_unless_they_are_busy) {
   EXPECT_EQ(choose({{"far", 1, 0, 1, 40}, {"near", 1, 0, 1, 0}}), 1U);
   EXPECT_EQ(choose({{"far", 1, 0, 1, 40}, {"near", 3, 9000, 1, 0}}), 0U);
 }
 
-TEST(choose_group, gives_nothing_when_all_are_full) {
+TEST(choose_group, returns_nothing_when_all_are_full) {
   EXPECT_EQ(choose({{"a", 4, 0, 1, 0}, {"b", 5, 0, 1, 0}}), std::nullopt);
 }
 
-TEST(choose_group, spreads_over_groups_that_are_alike) {
+TEST(choose_group, spreads_over_equal_groups) {
   random_stream random{std::mt19937_64(1)};
   const engine_profile e = engine();
   const std::vector<group_option> options = {{"a", 1, 0, 1, 0},
@@ -97,7 +97,7 @@
   EXPECT_EQ(loads.own_running("g"), 0);
 }
 
-TEST(load_table, forgets_a_peer_that_fell_silent) {
+TEST(load_table, drops_a_peer_that_stops_reporting) {
   load_table loads;
   loads.update_peer("n2", {{"g", 3, 10}}, start);
   EXPECT_EQ(loads.total("g", start + load_table::peer_timeout).running, 3);
@@ -107,7 +107,7 @@
       0);
 }
 
-TEST(load_table, a_later_word_of_a_peer_replaces_the_earlier) {
+TEST(load_table, a_later_report_of_a_peer_replaces_the_earlier) {
   load_table loads;
   loads.update_peer("n2", {{"g", 3, 10}, {"h", 1, 5}}, start);
   loads.update_peer("n2", {{"g", 1, 0}}, start);
@@ -117,15 +117,15 @@
   EXPECT_EQ(loads.total("g", start).running, 0);
 }
 
-TEST(load_table, sums_its_hall_and_the_others_apart) {
+TEST(load_table, sums_its_data_hall_and_the_others_separately) {
   load_table loads;
   loads.begin("g", 7);
   loads.update_peer("n2", {{"g", 3, 10}}, start);
   loads.update_peer("/east", {{"g", 4, 0}, {"h", 2, 1}}, start, true);
-  const std::vector<endpoint_load> near = {{"g", 4, 17}};
-  const std::vector<endpoint_load> far = {{"g", 4, 0}, {"h", 2, 1}};
-  EXPECT_EQ(loads.hall_sum(false, start), near);
-  EXPECT_EQ(loads.hall_sum(true, start), far);
+  const std::vector<endpoint_load> local = {{"g", 4, 17}};
+  const std::vector<endpoint_load> remote = {{"g", 4, 0}, {"h", 2, 1}};
+  EXPECT_EQ(loads.hall_sum(false, start), local);
+  EXPECT_EQ(loads.hall_sum(true, start), remote);
   EXPECT_EQ(loads.total("g", start).running, 8);
 }
 
--- a/test/requests-test.cc
+++ b/test/requests-test.cc
@@ -8,14 +8,14 @@
 const absl::Time start = absl::UnixEpoch() + absl::Hours(1);
 
 /// A routing view whose targets the test sets.
-class small_world final : public routing_view {
+class fake_view final : public routing_view {
  public:
   std::vector<open_target> open_places(target_kind,
                                        const std::string&) const override {
-    return this->places;
+    return this->targets;
   }
   bool can_complete(target_kind, const attempt_target&) const override {
-    return this->held;
+    return this->completable;
   }
   std::vector<attempt_target> other_halls(target_kind,
                                           const std::string&) const override {
@@ -26,9 +26,9 @@
     return absl::Seconds(7);
   }
 
-  std::vector<open_target> places;
+  std::vector<open_target> targets;
   std::vector<attempt_target> others;
-  bool held = true;
+  bool completable = true;
   configuration configured;
 };
 
@@ -37,13 +37,13 @@
   void SetUp() override {
     model_config model;
     model.name = "m";
-    this->world.configured.models.push_back(model);
+    this->view.configured.models.push_back(model);
     service_config service;
     service.name = "s";
-    this->world.configured.services.push_back(service);
-    this->world.configured.workspaces = {{"w", 1, 0, 9}, {"slow", 1, 2, 9}};
-    this->world.configured.limits.queue_length = 10;
-    this->world.places = {{{"g1", "a1", 1, false}, 2, 2, 0},
+    this->view.configured.services.push_back(service);
+    this->view.configured.workspaces = {{"w", 1, 0, 9}, {"slow", 1, 2, 9}};
+    this->view.configured.limits.queue_length = 10;
+    this->view.targets = {{{"g1", "a1", 1, false}, 2, 2, 0},
                           {{"g2", "a2", 1, false}, 2, 2, 0}};
   }
 
@@ -55,14 +55,14 @@
     info.workspace = workspace;
     info.repeatable = repeatable;
     info.deadline = this->now + absl::Seconds(10);
-    this->table.arrive(info, this->world, this->random, this->now, this->out);
+    this->table.arrive(info, this->view, this->random, this->now, this->out);
     return info.id;
   }
 
   /// Ends the latest attempt of a request.
-  void end(uint64_t id, attempt_end how) {
+  void end(uint64_t id, attempt_end end_kind) {
     const auto attempt = this->latest(id).attempt;
-    this->table.attempt_ended(id, attempt, how, this->world, this->random,
+    this->table.attempt_ended(id, attempt, end_kind, this->view, this->random,
                               this->now, this->out);
   }
 
@@ -94,10 +94,10 @@
 
   void step(absl::Duration passed) {
     this->now += passed;
-    this->table.step(this->world, this->random, this->now, this->out);
+    this->table.step(this->view, this->random, this->now, this->out);
   }
 
-  small_world world;
+  fake_view view;
   request_table table{"n", 1};
   random_stream random;
   request_actions out;
@@ -112,7 +112,7 @@
   EXPECT_EQ(this->table.size(), 0U);
 }
 
-TEST_F(requests, a_repeatable_one_goes_to_another_place) {
+TEST_F(requests, a_repeatable_one_is_retried_at_another_target) {
   const auto id = this->send();
   const auto first = this->latest(id).target.name;
   this->end(id, attempt_end::broken);
@@ -120,7 +120,7 @@
   EXPECT_NE(this->latest(id).target.name, first);
 }
 
-TEST_F(requests, one_that_may_not_be_repeated_is_told_the_truth) {
+TEST_F(requests, one_that_may_not_be_repeated_fails_after_a_break) {
   const auto id = this->send(false);
   EXPECT_TRUE(this->latest(id).new_connection);
   this->end(id, attempt_end::broken);
@@ -128,35 +128,35 @@
   EXPECT_EQ(this->ended(id).kind, outcome_kind::failed);
 }
 
-TEST_F(requests, one_that_was_not_started_may_go_elsewhere) {
+TEST_F(requests, one_that_was_not_started_is_retried_elsewhere) {
   const auto id = this->send(false);
   this->end(id, attempt_end::not_started);
   EXPECT_EQ(this->starts(id), 2);
 }
 
-TEST_F(requests, a_word_on_a_given_up_attempt_is_passed_over) {
+TEST_F(requests, the_end_of_an_abandoned_attempt_is_ignored) {
   const auto id = this->send();
   const auto old = this->latest(id).attempt;
   this->end(id, attempt_end::broken);
-  this->table.attempt_ended(id, old, attempt_end::whole, this->world,
+  this->table.attempt_ended(id, old, attempt_end::whole, this->view,
                             this->random, this->now, this->out);
   EXPECT_TRUE(this->out.finishes.empty());
 }
 
-TEST_F(requests, a_passed_deadline_says_whether_it_may_have_run) {
+TEST_F(requests, after_the_deadline_it_tells_whether_it_may_have_run) {
   const auto running = this->send();
-  this->world.places[0].capacity = this->world.places[1].capacity = 0;
+  this->view.targets[0].capacity = this->view.targets[1].capacity = 0;
   const auto waiting = this->send();
   this->step(absl::Seconds(1));
-  this->world.others.clear();
+  this->view.others.clear();
   this->step(absl::Seconds(10));
   EXPECT_EQ(this->ended(running).kind, outcome_kind::failed);
   EXPECT_EQ(this->ended(waiting).kind, outcome_kind::refused);
   EXPECT_EQ(this->out.cancels.size(), 1U);
 }
 
-TEST_F(requests, with_nothing_open_it_is_refused_soon_with_a_time) {
-  this->world.places.clear();
+TEST_F(requests, with_nothing_open_it_is_refused_with_a_retry_delay) {
+  this->view.targets.clear();
   const auto id = this->send();
   this->step(absl::Seconds(2));
   const auto result = this->ended(id);
@@ -164,9 +164,9 @@
   EXPECT_EQ(result.retry_after, absl::Seconds(7));
 }
 
-TEST_F(requests, with_nothing_open_here_it_takes_one_hop) {
-  this->world.places.clear();
-  this->world.others = {{"far", "f1", 0, true}};
+TEST_F(requests, with_nothing_open_here_it_is_forwarded_once) {
+  this->view.targets.clear();
+  this->view.others = {{"far", "f1", 0, true}};
   const auto id = this->send();
   EXPECT_TRUE(this->latest(id).target.remote_hall);
   request_info forwarded;
@@ -175,14 +175,13 @@
   forwarded.workspace = "w";
   forwarded.forwarded = true;
   forwarded.deadline = this->now + absl::Seconds(10);
-  this->table.arrive(forwarded, this->world, this->random, this->now,
-                     this->out);
+  this->table.arrive(forwarded, this->view, this->random, this->now, this->out);
   EXPECT_EQ(this->starts(forwarded.id), 0);
 }
 
-TEST_F(requests, attempts_at_a_lost_group_are_given_up_and_go_on) {
+TEST_F(requests, attempts_at_a_lost_group_are_abandoned_and_retried) {
   const auto id = this->send();
-  this->world.held = false;
+  this->view.completable = false;
   this->step(absl::Milliseconds(50));
   EXPECT_EQ(this->out.cancels.size(), 1U);
   EXPECT_EQ(this->starts(id), 2);
@@ -195,7 +194,7 @@
   EXPECT_GE(this->ended(id).retry_after, absl::Seconds(1));
 }
 
-TEST_F(requests, a_workspace_keeps_to_its_rate) {
+TEST_F(requests, a_workspace_is_limited_to_its_rate) {
   int refused = 0;
   for (int i = 0; i < 10; i++) {
     const auto id = this->send(true, "slow");
@@ -218,12 +217,12 @@
     info.workspace = "w";
     info.method = method;
     info.deadline = this->now + absl::Seconds(10);
-    this->table.arrive(info, this->world, this->random, this->now, this->out);
+    this->table.arrive(info, this->view, this->random, this->now, this->out);
     EXPECT_EQ(this->latest(info.id).new_connection, method == "POST");
   }
 }
 
-TEST_F(requests, retries_keep_to_a_share_of_traffic) {
+TEST_F(requests, retries_are_limited_to_a_share_of_traffic) {
   // Every attempt breaks; retries must not multiply the load.
   int sent = 0;
   for (int i = 0; i < 400; i++) {
--- a/test/slow-caller-test.cc
+++ b/test/slow-caller-test.cc
@@ -33,7 +33,7 @@
   }
 };
 
-TEST_F(slow_caller_test, a_caller_that_never_reads_is_given_up) {
+TEST_F(slow_caller_test, a_caller_that_never_reads_is_abandoned) {
   auto config = this->fleet->sample_config({"key-1"});
   config["limits"]["idle_timeout_ms"] = 1000;
   this->fleet->configure(config);
--- a/test/stall-watch-test.cc
+++ b/test/stall-watch-test.cc
@@ -12,7 +12,7 @@
 namespace net = boost::asio;
 
 /// A store that cannot be reached.
-class no_store : public object_store {
+class unreachable_store : public object_store {
  public:
   net::awaitable<platform_answer> call(platform_call) override {
     co_return platform_answer{};
@@ -26,7 +26,7 @@
   }
 };
 
-node_log& quiet_log() {
+node_log& test_log() {
   static auto* log = new node_log("test");
   return *log;
 }
@@ -59,7 +59,7 @@
   }
 
   /// Checks at every tick between `from` and `until` after the start.
-  void look(absl::Duration from, absl::Duration until) {
+  void check_ticks(absl::Duration from, absl::Duration until) {
     for (absl::Duration at = from; at < until; at += node_timing::tick) {
       this->watch.check(this->begun + at);
     }
@@ -68,62 +68,62 @@
   net::io_context loop;
   node_settings settings;
   std::unique_ptr<platform_adapter> adapter = make_fleet_adapter();
-  no_store store;
+  unreachable_store store;
   http_fetcher fetcher{loop.get_executor(), "test"};
-  node_context node{settings, loop, *adapter, store, fetcher, quiet_log()};
+  node_context node{settings, loop, *adapter, store, fetcher, test_log()};
   stall_detector watch{node};
   absl::Time begun = node.now();
 };
 
-TEST_F(stall_test, a_run_from_which_nothing_ever_comes_is_left) {
-  const auto run = this->send(absl::Milliseconds(400));
-  this->look(absl::ZeroDuration(), absl::Milliseconds(1200));
-  EXPECT_EQ(run->aborted, abort_cause::none);
-  this->look(absl::Milliseconds(1200), absl::Milliseconds(1500));
-  EXPECT_EQ(run->aborted, abort_cause::stalled);
+TEST_F(stall_test, an_attempt_without_any_event_is_aborted) {
+  const auto attempt = this->send(absl::Milliseconds(400));
+  this->check_ticks(absl::ZeroDuration(), absl::Milliseconds(1200));
+  EXPECT_EQ(attempt->aborted, abort_cause::none);
+  this->check_ticks(absl::Milliseconds(1200), absl::Milliseconds(1500));
+  EXPECT_EQ(attempt->aborted, abort_cause::stalled);
 }
 
-TEST_F(stall_test, a_run_whose_first_event_is_not_yet_due_is_not_left) {
-  const auto run = this->send(absl::Milliseconds(3000));
-  this->look(absl::ZeroDuration(), absl::Milliseconds(2900));
-  EXPECT_EQ(run->aborted, abort_cause::none);
+TEST_F(stall_test, an_attempt_whose_first_event_is_not_due_is_not_aborted) {
+  const auto attempt = this->send(absl::Milliseconds(3000));
+  this->check_ticks(absl::ZeroDuration(), absl::Milliseconds(2900));
+  EXPECT_EQ(attempt->aborted, abort_cause::none);
 }
 
-TEST_F(stall_test, members_have_time_to_answer_before_a_group_is_left) {
-  const auto run = this->send(absl::Milliseconds(1500));
-  this->look(absl::ZeroDuration(), absl::Milliseconds(1600));
-  EXPECT_EQ(run->aborted, abort_cause::none);
-  this->look(absl::Milliseconds(1600), absl::Milliseconds(1800));
-  EXPECT_EQ(run->aborted, abort_cause::stalled);
+TEST_F(stall_test, members_have_time_to_respond_before_a_group_is_abandoned) {
+  const auto attempt = this->send(absl::Milliseconds(1500));
+  this->check_ticks(absl::ZeroDuration(), absl::Milliseconds(1600));
+  EXPECT_EQ(attempt->aborted, abort_cause::none);
+  this->check_ticks(absl::Milliseconds(1600), absl::Milliseconds(1800));
+  EXPECT_EQ(attempt->aborted, abort_cause::stalled);
 }
 
-TEST_F(stall_test, a_run_that_may_still_wait_lends_its_age_to_no_other) {
-  const auto patient = this->send(absl::Milliseconds(3000));
-  const auto young = this->send(absl::Milliseconds(1800));
-  young->sent_at = this->begun + absl::Milliseconds(1300);
-  this->look(absl::ZeroDuration(), absl::Milliseconds(2400));
-  EXPECT_EQ(young->aborted, abort_cause::none);
-  EXPECT_EQ(patient->aborted, abort_cause::none);
+TEST_F(stall_test, an_attempt_not_yet_due_does_not_age_another) {
+  const auto earlier = this->send(absl::Milliseconds(3000));
+  const auto later_attempt = this->send(absl::Milliseconds(1800));
+  later_attempt->sent_at = this->begun + absl::Milliseconds(1300);
+  this->check_ticks(absl::ZeroDuration(), absl::Milliseconds(2400));
+  EXPECT_EQ(later_attempt->aborted, abort_cause::none);
+  EXPECT_EQ(earlier->aborted, abort_cause::none);
 }
 
-TEST_F(stall_test, a_later_sending_does_not_hide_an_earlier_silence) {
-  const auto run = this->send(absl::Milliseconds(400));
-  this->look(absl::ZeroDuration(), absl::Milliseconds(1000));
+TEST_F(stall_test, a_later_attempt_does_not_hide_an_earlier_silence) {
+  const auto attempt = this->send(absl::Milliseconds(400));
+  this->check_ticks(absl::ZeroDuration(), absl::Milliseconds(1000));
   const auto later = this->send(absl::Milliseconds(1400));
   later->sent_at = this->begun + absl::Milliseconds(1000);
-  this->look(absl::Milliseconds(1000), absl::Milliseconds(1500));
-  EXPECT_EQ(run->aborted, abort_cause::stalled);
+  this->check_ticks(absl::Milliseconds(1000), absl::Milliseconds(1500));
+  EXPECT_EQ(attempt->aborted, abort_cause::stalled);
 }
 
-TEST_F(stall_test, a_run_in_a_group_that_writes_to_others_is_not_left) {
-  const auto run = this->send(absl::Milliseconds(400));
+TEST_F(stall_test, an_attempt_in_a_group_that_serves_others_is_not_aborted) {
+  const auto attempt = this->send(absl::Milliseconds(400));
   const auto other = this->send(absl::Milliseconds(400));
   other->events_started = true;
   for (int at = 0; at < 3000; at += 20) {
     other->last_event = this->begun + absl::Milliseconds(at);
     this->watch.check(this->begun + absl::Milliseconds(at));
   }
-  EXPECT_EQ(run->aborted, abort_cause::none);
+  EXPECT_EQ(attempt->aborted, abort_cause::none);
 }
 
 }  // namespace
