--- a/include/spokesail/byte-budget.h
+++ b/include/spokesail/byte-budget.h
@@ -7,9 +7,9 @@
 
 namespace spokesail {
 
-/// Counts the bytes of requests and answers held in memory. Callers and
-/// servers may be slow, so this memory grows with their slowness and not with
-/// the number of requests.
+/// Counts the bytes of requests and answers held in memory. Callers and servers
+/// may be slow, so this memory grows with their slowness and not with the
+/// number of requests.
 class byte_budget {
  public:
   /// Holds at most `limit` bytes; 0 for no limit.
@@ -22,8 +22,8 @@
   /// Registers an answer that will grow, and removes it. Returns its number.
   uint64_t begin_answer();
   void end_answer(uint64_t answer) { this->answers.erase(answer); }
-  /// Whether an answer may grow. The oldest always may, since answers that
-  /// wait for each other would never free memory.
+  /// Whether an answer may grow. The oldest always may, since answers that wait
+  /// for each other would never free memory.
   bool may_grow(uint64_t answer) const;
   /// Whether a new request may be accepted. The rest of the budget is reserved
   /// for the answers to running requests.
--- a/include/spokesail/load-table.h
+++ b/include/spokesail/load-table.h
@@ -60,7 +60,7 @@
  private:
   /// A peer's requests, and when it reported them.
   struct peer_load {
-    std::vector<endpoint_load> places;
+    std::vector<endpoint_load> loads;
     absl::Time at;
     bool remote = false;
   };
--- a/include/spokesail/speed-table.h
+++ b/include/spokesail/speed-table.h
@@ -56,7 +56,7 @@
   static constexpr absl::Duration peer_timeout = absl::Milliseconds(1500);
   /// Maximum number of endpoints that one node reports, which bounds its
   /// datagrams.
-  static constexpr size_t most_told = 16;
+  static constexpr size_t max_reported = 16;
 
   /// Records a response that took `ratio` times as long as expected.
   void add_sample(const endpoint_id& id, double ratio, absl::Time now);
--- a/src/admission.cc
+++ b/src/admission.cc
@@ -5,8 +5,8 @@
 namespace spokesail {
 namespace {
 
-/// Maximum number of callers of a workspace that are kept without a waiting
-/// request.
+/// Number of callers of a workspace above which those without a waiting request
+/// are dropped.
 constexpr size_t max_idle_callers = 256;
 
 }  // namespace
--- a/src/load-table.cc
+++ b/src/load-table.cc
@@ -29,7 +29,7 @@
 
 void load_table::add_scaled(const peer_load& peer, int sign) {
   sums& into = peer.remote ? this->remote_sums : this->local_sums;
-  for (const auto& load : peer.places) {
+  for (const auto& load : peer.loads) {
     endpoint_load& sum = into[load.endpoint];
     sum.endpoint = load.endpoint;
     sum.running += sign * load.running;
--- a/src/request-admission.cc
+++ b/src/request-admission.cc
@@ -368,7 +368,8 @@
   const double drain_ms =
       std::max(0.0, prediction.best_ms - goal) / (1 - utilization);
   const double expected_ms = std::min(drain_ms, prediction.slot_free_ms);
-  // Interval at which slots become free over all nodes together.
+  // All nodes share the slots that become free, so the interval between the
+  // returning callers of one node grows with the number of nodes.
   const double slot_interval_ms =
       service_ms(view, request.size, view.engine.slots) / view.engine.slots;
   const double return_interval_ms =
--- a/src/request-admit.cc
+++ b/src/request-admit.cc
@@ -76,8 +76,7 @@
       this->chosen.limit = limit;
     }
   }
-  // Reservoir sampling: each server skipped is chosen with equal
-  // probability.
+  // Reservoir sampling: each server skipped is chosen with equal probability.
   const auto skipped = static_cast<uint64_t>(++this->ungranted_count);
   if (this->node.random.below(skipped) == 0) this->ungranted_server = head;
 }
@@ -85,7 +84,7 @@
 void request_handler::request_grant() {
   const absl::Time now = this->node.now();
   const absl::Duration period = this->node.cold.times().min_request_interval;
-  if (this->ungranted_count == 0 || now - this->grant_wanted_at < period) {
+  if (this->ungranted_count == 0 || now - this->grant_requested_at < period) {
     return;
   }
   const server_entry* entry = this->node.directory.find(this->ungranted_server);
@@ -94,7 +93,7 @@
   this->node.cold.add_demand(entry->id, entry->incarnation,
                              limited ? grant_client::max_limited_requests
                                      : grant_client::max_requests);
-  this->grant_wanted_at = now;
+  this->grant_requested_at = now;
 }
 
 std::optional<endpoint_target> request_handler::acquire_grant(
--- a/src/request-answer.cc
+++ b/src/request-answer.cc
@@ -55,9 +55,9 @@
 }
 
 net::awaitable<void> request_handler::wait_for_memory(
-    exchange& ex, const answer_charge& answer) {
+    exchange& ex, const answer_charge& charge) {
   ex.waiting_for_caller = true;
-  while (!answer.may_grow() && ex.aborted == abort_cause::none) {
+  while (!charge.may_grow() && ex.aborted == abort_cause::none) {
     co_await this->node.sleep(memory_poll_interval);
   }
   ex.waiting_for_caller = false;
--- a/src/request-handler.cc
+++ b/src/request-handler.cc
@@ -27,8 +27,8 @@
 constexpr absl::Duration no_capacity_retry_delay = absl::Milliseconds(400);
 /// Retry delay during evacuations, which last seconds at least.
 constexpr absl::Duration evacuation_retry_delay = absl::Seconds(1);
-/// Upper bound on the retry delay for rate limits: a low limit may end
-/// before the computed delay has passed.
+/// Upper bound on the retry delay for rate limits: a low limit may end before
+/// the computed delay has passed.
 constexpr absl::Duration max_limit_retry_delay = absl::Seconds(3);
 /// Retry delay if only this node refuses: another node can take the request at
 /// once.
--- a/src/request-handler.h
+++ b/src/request-handler.h
@@ -42,7 +42,7 @@
   struct refusal {
     unsigned status = 503;
     const char* reason = "";
-    /// Value of Retry-After; zero if the header is omitted.
+    /// Retry delay sent to the caller; zero if none is sent.
     absl::Duration retry_after = absl::ZeroDuration();
   };
 
@@ -204,7 +204,7 @@
   /// Name of the admission queue that the request belongs to.
   std::string admission_pool() const;
   /// Whether a request may be sent to a group's members or a plain server now.
-  /// If a required grant is missing, records that it was skipped.
+  /// If a required grant is missing, records that the server was skipped.
   bool may_send(const std::string& head,
                 const std::vector<std::string>& members);
   /// Whether one of these servers is still slow after a start and may get only
@@ -242,7 +242,7 @@
       exchange& ex, const answer_head& head);
   /// Waits until there is memory for more of a response.
   boost::asio::awaitable<void> wait_for_memory(exchange& ex,
-                                               const answer_charge& answer);
+                                               const answer_charge& charge);
   /// Relays a plain response after its whole body was read.
   boost::asio::awaitable<attempt_result> relay_buffered(
       exchange& ex, const answer_head& head);
@@ -291,7 +291,7 @@
   /// Sum of the grant rates of those with a limit, in requests per second.
   double skipped_per_s = 0;
   /// When a grant was last requested.
-  absl::Time grant_wanted_at = absl::InfinitePast();
+  absl::Time grant_requested_at = absl::InfinitePast();
 
   /// Endpoints that an attempt was made at.
   std::set<std::string> tried_endpoints;
--- a/src/request-routing.cc
+++ b/src/request-routing.cc
@@ -240,9 +240,9 @@
     co_return endpoint;
   // Evacuations last longer than a request may wait.
   if (this->node.service_closed(this->service->name)) co_return endpoint;
-  const absl::Duration longest = may_be_granted ? grant_wait : retry_wait;
+  const absl::Duration max_wait = may_be_granted ? grant_wait : retry_wait;
   const absl::Time until =
-      this->node.now() + std::min(longest, this->time_left() / 2);
+      this->node.now() + std::min(max_wait, this->time_left() / 2);
   while (!endpoint && !this->session.gone && this->node.now() < until) {
     co_await this->node.sleep(endpoint_poll_interval);
     endpoint = this->pick();
--- a/src/speed-table.cc
+++ b/src/speed-table.cc
@@ -62,8 +62,8 @@
   return values.empty() ? 1 : values.back().first;
 }
 
-/// Bounds one node's report or sample. Values below 1 are kept: clamping
-/// them to 1 would bias the mean of reports upwards.
+/// Bounds one node's report or sample. Values below 1 are kept: clamping them
+/// to 1 would bias the mean of reports upwards.
 double clamp_slowness(double slowness) {
   return std::clamp(slowness, 1 / speed_table::max_slowness,
                     speed_table::max_slowness);
@@ -245,7 +245,7 @@
     return std::pair(-a.slowness, a.endpoint) <
            std::pair(-b.slowness, b.endpoint);
   });
-  if (out.size() > most_told) out.resize(most_told);
+  if (out.size() > max_reported) out.resize(max_reported);
   return out;
 }
 
--- a/test/request-admission-test.cc
+++ b/test/request-admission-test.cc
@@ -422,7 +422,7 @@
 
 /// The largest number of requests that any of 15 groups held at once, with 83
 /// nodes, random arrivals and load reports of the given age.
-int most_in_one_group(double per_s, absl::Duration load_age) {
+int max_in_one_group(double per_s, absl::Duration load_age) {
   constexpr size_t groups = 15;
   constexpr size_t count = 83;
   nodes_with_stale_load fleet(count);
@@ -479,7 +479,7 @@
 
 TEST(request_admission, nodes_do_not_exceed_the_slots_by_much) {
   for (const int age : {25, 50, 100}) {
-    const int max_held = most_in_one_group(2.5 * 347, age * ms);
+    const int max_held = max_in_one_group(2.5 * 347, age * ms);
     EXPECT_LE(max_held, test_engine().slots + max_excess) << age << " ms";
     EXPECT_GE(max_held, test_engine().slots / 2) << age << " ms";
   }
--- a/test/speed-table-test.cc
+++ b/test/speed-table-test.cc
@@ -351,7 +351,7 @@
     }
   }
   const auto reported = table.reported(begin);
-  EXPECT_EQ(reported.size(), speed_table::most_told);
+  EXPECT_EQ(reported.size(), speed_table::max_reported);
   EXPECT_LE(report_bytes(reported), 800U);
   RecordProperty("bytes", static_cast<int>(report_bytes(reported)));
   RecordProperty("bytes_of_one",
--- a/test/stall-watch-test.cc
+++ b/test/stall-watch-test.cc
@@ -53,15 +53,15 @@
   /// A request sent at the start, whose first event is due after `due`.
   std::unique_ptr<exchange> send(absl::Duration due) {
     auto out = std::make_unique<exchange>(this->node, endpoint(), 100);
-    out->sent_at = this->begun;
-    out->first_event_deadline = this->begun + due;
+    out->sent_at = this->started;
+    out->first_event_deadline = this->started + due;
     return out;
   }
 
   /// Checks at every tick between `from` and `until` after the start.
   void check_ticks(absl::Duration from, absl::Duration until) {
     for (absl::Duration at = from; at < until; at += node_timing::tick) {
-      this->watch.check(this->begun + at);
+      this->watch.check(this->started + at);
     }
   }
 
@@ -72,7 +72,7 @@
   http_fetcher fetcher{loop.get_executor(), "test"};
   node_context node{settings, loop, *adapter, store, fetcher, test_log()};
   stall_detector watch{node};
-  absl::Time begun = node.now();
+  absl::Time started = node.now();
 };
 
 TEST_F(stall_test, an_attempt_without_any_event_is_aborted) {
@@ -100,7 +100,7 @@
 TEST_F(stall_test, an_attempt_not_yet_due_does_not_age_another) {
   const auto earlier = this->send(absl::Milliseconds(3000));
   const auto later_attempt = this->send(absl::Milliseconds(1800));
-  later_attempt->sent_at = this->begun + absl::Milliseconds(1300);
+  later_attempt->sent_at = this->started + absl::Milliseconds(1300);
   this->check_ticks(absl::ZeroDuration(), absl::Milliseconds(2400));
   EXPECT_EQ(later_attempt->aborted, abort_cause::none);
   EXPECT_EQ(earlier->aborted, abort_cause::none);
@@ -110,7 +110,7 @@
   const auto attempt = this->send(absl::Milliseconds(400));
   this->check_ticks(absl::ZeroDuration(), absl::Milliseconds(1000));
   const auto later = this->send(absl::Milliseconds(1400));
-  later->sent_at = this->begun + absl::Milliseconds(1000);
+  later->sent_at = this->started + absl::Milliseconds(1000);
   this->check_ticks(absl::Milliseconds(1000), absl::Milliseconds(1500));
   EXPECT_EQ(attempt->aborted, abort_cause::stalled);
 }
@@ -120,8 +120,8 @@
   const auto other = this->send(absl::Milliseconds(400));
   other->events_started = true;
   for (int at = 0; at < 3000; at += 20) {
-    other->last_event = this->begun + absl::Milliseconds(at);
-    this->watch.check(this->begun + absl::Milliseconds(at));
+    other->last_event = this->started + absl::Milliseconds(at);
+    this->watch.check(this->started + absl::Milliseconds(at));
   }
   EXPECT_EQ(attempt->aborted, abort_cause::none);
 }
