--- a/include/spokesail/engine-model.h
+++ b/include/spokesail/engine-model.h
@@ -43,7 +43,7 @@
                               const group_option& option, double prompt);
 
 /// Time between two events of the requests in `option` once `more` have joined,
-/// in ms, without the reading of further prompts.
+/// in ms, without the prefill of further prompts.
 double predict_event_gap_ms(const engine_profile& engine,
                             const model_profile& model,
                             const group_option& option, int more);
--- a/include/spokesail/load-table.h
+++ b/include/spokesail/load-table.h
@@ -30,15 +30,16 @@
   /// effect.
   static constexpr absl::Duration peer_timeout = absl::Milliseconds(1500);
 
-  /// Counts a request sent to an endpoint, its prompt unread.
+  /// Counts a request sent to an endpoint, with the prefill of its prompt
+  /// pending.
   void begin(const std::string& endpoint, double prompt_tokens);
-  /// Counts prompt tokens as read.
+  /// Counts the prefill of prompt tokens as finished.
   void read(const std::string& endpoint, double prompt_tokens);
   /// Removes a request that has ended.
   void end(const std::string& endpoint);
 
-  /// Replaces a peer's report. `far` is set if the peer is in another data hall
-  /// or reports for one.
+  /// Replaces a peer's report. `remote` is set if the peer is in another data
+  /// hall or reports for one.
   void update_peer(const std::string& peer, std::vector<endpoint_load> loads,
                    absl::Time now, bool remote = false);
 
--- a/include/spokesail/request-admission.h
+++ b/include/spokesail/request-admission.h
@@ -51,8 +51,8 @@
   bool operator==(const admission_request&) const = default;
 };
 
-/// Engine time that a request needs when groups are full, in ms: the time to
-/// read its prompt, and its share of the steps that generate its answer.
+/// Engine time that a request needs when groups are full, in ms: the prefill of
+/// its prompt, and its share of the steps that decode its answer.
 double engine_time_ms(const engine_profile& engine, const model_profile& model,
                       const request_size& size);
 
--- a/include/spokesail/request-identity.h
+++ b/include/spokesail/request-identity.h
@@ -1,4 +1,4 @@
-// Identifies a request over several attempts by its sender and its content.
+// What makes two attempts the same request: the sender and the content.
 #pragma once
 
 #include <compare>
--- a/include/spokesail/routing-config.h
+++ b/include/spokesail/routing-config.h
@@ -35,17 +35,16 @@
   int slots = 1;
   /// Tokens that one group's memory holds.
   int64_t kv_tokens = 0;
-  /// Token steps of a pass that generates answers, before the next prompts are
-  /// read.
+  /// Decode steps of a pass with running requests, before the next prefill.
   int decode_steps_per_pass = 1;
   /// Time of one step, and the time that each request and each thousand tokens
   /// of context add to it.
   double step_ms = 1;
   double step_ms_per_request = 0;
   double step_ms_per_1k_context = 0;
-  /// Prompt tokens read per millisecond.
+  /// Prefill speed, in prompt tokens per millisecond.
   double prefill_tokens_per_ms = 1;
-  /// Largest number of prompt tokens read in one step.
+  /// Largest number of prompt tokens that one step prefills.
   int prefill_chunk = 1;
   /// Mean number of tokens of prompts and answers, before any were seen.
   double mean_prompt_tokens = 0;
--- a/src/engine-model.cc
+++ b/src/engine-model.cc
@@ -14,8 +14,9 @@
 /// load of the other entry hosts lags.
 constexpr double tie_margin_ms = 10;
 
-/// Passes until a first event, in addition to reading the prompt: half of the
-/// pass running when the request arrives, and the one that writes the event.
+/// Passes until a first event, in addition to the prefill of the prompt: half
+/// of the pass running when the request arrives, and the one that writes the
+/// event.
 constexpr double passes_to_first_event = 1.5;
 
 /// Weight of the time between events against the time to the first one, for
@@ -66,7 +67,7 @@
   for (const auto& option : options) {
     double cost = std::numeric_limits<double>::infinity();
     if (option.running < engine.slots) {
-      // The prompt is read while the other requests there wait.
+      // The other requests there wait during the prefill of the prompt.
       const double events =
           size.answer / std::max(1, engine.decode_steps_per_pass);
       cost =
--- a/src/load-table.cc
+++ b/src/load-table.cc
@@ -42,7 +42,7 @@
 void load_table::update_peer(const std::string& peer,
                              std::vector<endpoint_load> loads, absl::Time now,
                              bool remote) {
-  // An endpoint without requests has no unread prompts either.
+  // An endpoint without requests has no pending prefill either.
   std::erase_if(loads, [](const auto& load) { return load.running <= 0; });
   this->remove_peer(peer);
   peer_load& entry = this->peers[peer];
--- a/src/request-admission.cc
+++ b/src/request-admission.cc
@@ -57,7 +57,7 @@
 
 double millis(absl::Duration time) { return absl::ToDoubleMilliseconds(time); }
 
-/// Time in which a group reads a prompt, in ms.
+/// Prefill time of a prompt at one group, in ms.
 double prefill_ms(const admission_view& view, double prompt) {
   return view.model.pace * prompt / view.engine.prefill_tokens_per_ms;
 }
--- a/src/stall-detector.cc
+++ b/src/stall-detector.cc
@@ -47,7 +47,7 @@
     option.running = load.running;
     option.slowness =
         this->node.speeds.slowness(endpoint.group, this->node.now());
-    // One pass reads at most this many tokens between its steps.
+    // One pass prefills at most this many tokens between its steps.
     const double max_prefill =
         static_cast<double>(engine.decode_steps_per_pass) *
         engine.prefill_chunk;
