--- a/src/event-splitter.cc
+++ b/src/event-splitter.cc
@@ -1,4 +1,4 @@
-// Finds the ends of events and their ids.
+// Finds the ends and ids of server-sent events.
 #include "event-splitter.h"
 
 #include <absl/strings/match.h>
@@ -9,7 +9,7 @@
 namespace spokesail {
 namespace {
 
-/// The offset after the first empty line from `from` on; npos if none is there.
+/// The offset after the first empty line from `from` on; npos if there is none.
 size_t event_end(absl::string_view text, size_t from) {
   for (size_t at = text.find('\n', from); at != absl::string_view::npos;
        at = text.find('\n', at + 1)) {
@@ -20,7 +20,7 @@
   return absl::string_view::npos;
 }
 
-/// The id that an event bears; -1 if none, or one that is no number.
+/// The id of an event; -1 if it has none or it is not a number.
 int64_t event_id(absl::string_view event) {
   int64_t id = -1;
   for (absl::string_view line : absl::StrSplit(event, '\n')) {
@@ -35,19 +35,19 @@
 std::optional<event_batch> event_splitter::feed(std::string_view bytes) {
   this->pending.append(bytes);
   event_batch out;
-  size_t done = 0;
+  size_t consumed = 0;
   for (;;) {
-    const size_t end = event_end(this->pending, done);
+    const size_t end = event_end(this->pending, consumed);
     if (end == absl::string_view::npos) break;
-    const int64_t id =
-        event_id(absl::string_view(this->pending).substr(done, end - done));
+    const int64_t id = event_id(
+        absl::string_view(this->pending).substr(consumed, end - consumed));
     if (id >= 0) out.last_id = id;
     out.events++;
-    done = end;
+    consumed = end;
   }
-  out.bytes = this->pending.substr(0, done);
-  this->pending.erase(0, done);
-  if (this->pending.size() > largest_event) return std::nullopt;
+  out.bytes = this->pending.substr(0, consumed);
+  this->pending.erase(0, consumed);
+  if (this->pending.size() > max_event_bytes) return std::nullopt;
   return out;
 }
 
