--- a/include/spokesail/load-table.h
+++ b/include/spokesail/load-table.h
@@ -34,7 +34,7 @@
   /// pending.
   void begin(const std::string& endpoint, double prompt_tokens);
   /// Counts the prefill of prompt tokens as finished.
-  void read(const std::string& endpoint, double prompt_tokens);
+  void finish_prefill(const std::string& endpoint, double prompt_tokens);
   /// Removes a request that has ended.
   void end(const std::string& endpoint);
 
@@ -50,9 +50,9 @@
   endpoint_load total(const std::string& endpoint, absl::Time now);
 
   /// Number of requests that this node has started.
-  uint64_t begun() const { return this->started_count; }
+  uint64_t requests_begun() const { return this->started_count; }
   /// This node's own requests, to report to its peers.
-  std::vector<endpoint_load> own() const;
+  std::vector<endpoint_load> own_loads() const;
   /// Number of this node's requests at one endpoint.
   int own_running(const std::string& endpoint) const;
   /// Requests in flight by endpoint, of this data hall or of all others.
--- a/include/spokesail/request-admission.h
+++ b/include/spokesail/request-admission.h
@@ -142,7 +142,7 @@
     event_rate draw_rate;
     absl::Time next_draw_at = absl::InfinitePast();
     /// Moving average of the routes' goals, in ms; 0 before the first request.
-    double mean_goal_ms = 0;
+    double mean_goal = 0;
     /// When the caller that was refused last is to return.
     absl::Time next_retry_at = absl::InfinitePast();
   };
--- a/src/node-beat.cc
+++ b/src/node-beat.cc
@@ -72,9 +72,9 @@
 absl::Time node_step::probed_at() const {
   absl::Time oldest = this->now;
   for (const auto& [name, slot] : this->s.probes) {
-    const auto own =
+    const auto seen =
         this->s.presence.observation_of(this->s.options.self.name, name);
-    if (own && own->reachable) oldest = std::min(oldest, slot.answered);
+    if (seen && seen->reachable) oldest = std::min(oldest, slot.answered);
   }
   return oldest;
 }
@@ -109,13 +109,13 @@
   b.probed_at = this->probed_at();
   b.open_models = this->open_targets();
   for (const auto& [name, slot] : this->s.probes) {
-    const auto own =
+    const auto seen =
         this->s.presence.observation_of(this->s.options.self.name, name);
-    if (!own) continue;
-    const absl::Time at = own->reachable ? own->at : own->unreachable_since;
-    b.observations.push_back({name, own->reachable, at, own->report});
-    const bool has_load = own->load.running > 0 || own->load.queued > 0;
-    if (has_load) b.loads.push_back({name, own->load});
+    if (!seen) continue;
+    const absl::Time at = seen->reachable ? seen->at : seen->unreachable_since;
+    b.observations.push_back({name, seen->reachable, at, seen->report});
+    const bool has_load = seen->load.running > 0 || seen->load.queued > 0;
+    if (has_load) b.loads.push_back({name, seen->load});
   }
   return b;
 }
--- a/src/node-gossip.cc
+++ b/src/node-gossip.cc
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-void node_gossip::receive(const std::string& peer, const gossip& message) {
+void node_gossip::handle_gossip(const std::string& peer, const gossip& message) {
   const absl::Time now = this->node.now();
   if (message.requests_seen) this->node.requests_seen = true;
   if (message.holder) this->apply_holder_state(*message.holder);
@@ -46,7 +46,7 @@
                                     message.demand, now);
     }
   } else {
-    this->remote.receive(peer, message, now);
+    this->remote.handle_gossip(peer, message, now);
   }
 }
 
@@ -93,7 +93,7 @@
 }
 
 void node_gossip::send_local_gossip(gossip message, absl::Time now) {
-  const uint64_t requests_sent = this->node.loads.begun();
+  const uint64_t requests_sent = this->node.loads.requests_begun();
   const int peers = this->link.count_reachable_peers(false);
   if (!this->local_pace.due(requests_sent, peers, now)) return;
   this->local_pace.on_sent(requests_sent, peers, now);
@@ -161,7 +161,7 @@
   const bool no_peers = this->link.listed() && this->link.size() == 0;
   const bool reliable = this->node.live_nodes > 1 || no_peers;
   if (!reliable || now - this->node.started < node_count_settle_time) return;
-  this->node.fleet.note(this->node.live_nodes, now);
+  this->node.fleet.record(this->node.live_nodes, now);
 }
 
 net::awaitable<void> node_gossip::run() {
--- a/src/node-gossip.h
+++ b/src/node-gossip.h
@@ -26,7 +26,7 @@
   boost::asio::awaitable<void> run();
 
   /// Applies a peer's gossip.
-  void receive(const std::string& peer, const gossip& message);
+  void handle_gossip(const std::string& peer, const gossip& message);
 
   /// Applies the parts of a relay's message that do not come from the store.
   void apply_relayed(const store_update& update);
--- a/src/node-process.cc
+++ b/src/node-process.cc
@@ -87,33 +87,33 @@
 
 void node_process::connect_messages() {
   this->link.on_gossip = [this](const std::string& peer, const auto& message) {
-    this->gossip.receive(peer, message);
+    this->gossip.handle_gossip(peer, message);
   };
   this->link.on_request = [this](const std::string& peer, const auto& request) {
-    this->relay.answer(peer, request);
+    this->relay.handle_request(peer, request);
   };
   this->link.on_store_update = [this](const std::string& peer,
                                       const auto& message) {
-    this->relay.take(peer, message);
+    this->relay.handle_update(peer, message);
   };
   this->link.on_crashes = [this](const std::string& peer, const auto& message) {
-    this->crashes.take(peer, message);
+    this->crashes.handle_report(peer, message);
   };
   this->link.on_grant_request = [this](const std::string& peer,
                                        const auto& request) {
-    this->cold.answer(peer, request);
+    this->cold.handle_request(peer, request);
   };
   this->link.on_grant_response = [this](const std::string& peer,
                                         const auto& message) {
-    this->cold.take(peer, message);
+    this->cold.handle_response(peer, message);
   };
   this->link.on_limit_update = [this](const std::string& peer,
                                       const auto& message) {
-    this->limits.take(peer, message);
+    this->limits.handle_reports(peer, message);
   };
   this->link.on_suspicion = [this](const suspicion& message) {
     for (const auto& id : message.servers) this->group_runner.suspect(id);
-    this->stalls.on_peer_suspicion(message);
+    this->stalls.handle_suspicion(message);
   };
 }
 
@@ -270,7 +270,7 @@
   m.set_gauge("limited_servers",
               static_cast<double>(this->state.limits.size()));
   m.set_gauge("live_nodes", this->state.live_nodes);
-  const auto max_nodes = this->state.fleet.most(this->state.now());
+  const auto max_nodes = this->state.fleet.peak(this->state.now());
   m.set_gauge("most_nodes", max_nodes.value_or(0));
   m.set_gauge("lease_held", this->lease.holds() ? 1 : 0);
   m.set_gauge("config_age_seconds",
--- a/src/request-admission.cc
+++ b/src/request-admission.cc
@@ -101,8 +101,8 @@
 /// Probability that a first event predicted after `first_ms` comes within
 /// `left_ms`.
 static double probability_in_time(double first_ms, double left_ms,
-                                  double mean_goal_ms) {
-  const double spread = first_event_spread * mean_goal_ms;
+                                  double mean_goal) {
+  const double spread = first_event_spread * mean_goal;
   return std::clamp(0.5 + (left_ms - first_ms) / (2 * spread), 0.0, 1.0);
 }
 
@@ -112,14 +112,14 @@
 static double requests_made_late(const admission_request& request,
                                  const admission_view& view,
                                  const group_option& option, double error_ms,
-                                 double group_rate, double mean_goal_ms) {
+                                 double group_rate, double mean_goal) {
   const double mean_prompt = view.engine.mean_prompt_tokens;
   const group_option loaded = with_request(option, request.size.prompt);
   const double next_first_event_ms =
       error_ms +
       predict_first_event_ms(view.engine, view.model, loaded, mean_prompt);
-  const double spread = first_event_spread * mean_goal_ms;
-  if (next_first_event_ms <= mean_goal_ms - spread) return 0;
+  const double spread = first_event_spread * mean_goal;
+  if (next_first_event_ms <= mean_goal - spread) return 0;
   const double utilization = group_rate * prefill_ms(view, mean_prompt);
   if (utilization >= 1 - min_spare_fraction) return infinite;
   const double affected = group_rate *
@@ -341,11 +341,11 @@
                                                      request.size.prompt);
     if (first_event_ms > time_left_ms) continue;
     const double chance = probability_in_time(
-        first_event_ms, prediction.left_ms, pool.mean_goal_ms);
+        first_event_ms, prediction.left_ms, pool.mean_goal);
     const double gain = late_value + (1 - late_value) * chance;
     const double net_gain =
         gain - requests_made_late(request, view, option, prediction.error_ms,
-                                  prediction.group_rate, pool.mean_goal_ms);
+                                  prediction.group_rate, pool.mean_goal);
     if (net_gain <= best_gain) continue;
     best_gain = net_gain;
     out.option = i;
--- a/src/request-handler.cc
+++ b/src/request-handler.cc
@@ -351,7 +351,7 @@
   if (this->connected_attempts == 0 || this->reserved) return true;
   const absl::Time now = this->node.now();
   auto reservation = this->node.retries.reserve(
-      this->service->name, this->node.fleet.most(now), now);
+      this->service->name, this->node.fleet.peak(now), now);
   if (!reservation) {
     this->log_retry("repeat_refused");
     return false;
@@ -466,7 +466,7 @@
   const bool no_capacity = this->node.settings.groups.follow_demand &&
                            this->attempts_made == 0 && this->model != nullptr;
   if (no_capacity) {
-    this->node.own_demand.refuse(this->service->name, this->model->name,
+    this->node.own_demand.count_refusal(this->service->name, this->model->name,
                                  this->node.now());
   }
   co_return co_await this->send_refusal(r);
--- a/src/request-log.cc
+++ b/src/request-log.cc
@@ -62,14 +62,14 @@
   if (this->service == nullptr) return {};
   const absl::Time now = this->node.now();
   return this->node.retries.usage(this->service->name,
-                                  this->node.fleet.most(now), now);
+                                  this->node.fleet.peak(now), now);
 }
 
 void request_handler::log_retry(const char* event) {
   this->node.metrics.count_retry(this->service->name, event);
   const absl::Time now = this->node.now();
   const retry_usage budget = this->current_retry_usage();
-  const std::optional<int> nodes = this->node.fleet.most(now);
+  const std::optional<int> nodes = this->node.fleet.peak(now);
   this->node.log.write(log_category::request, event,
                        {{"id", this->info.id},
                         {"service", this->service->name},
--- a/src/request-routing.cc
+++ b/src/request-routing.cc
@@ -94,7 +94,7 @@
   if (!this->node.settings.groups.follow_demand) return;
   if (this->model == nullptr) return;
   const bool counted =
-      this->node.own_demand.arrive(this->service->name, this->model->name,
+      this->node.own_demand.count_arrival(this->service->name, this->model->name,
                                    this->expected_size(), this->node.now());
   if (!counted) this->node.metrics.count_update_event("demand_left_out");
 }
--- a/src/stall-detector.cc
+++ b/src/stall-detector.cc
@@ -158,7 +158,7 @@
                      });
 }
 
-void stall_detector::on_peer_suspicion(const suspicion& report) {
+void stall_detector::handle_suspicion(const suspicion& report) {
   if (report.group.empty() || !this->has_exchange(report.group)) return;
   const absl::Time now = this->node.now();
   absl::Time& probed_at =
--- a/src/stall-detector.h
+++ b/src/stall-detector.h
@@ -26,7 +26,7 @@
   /// Handles a peer's report that a group lost servers. If this node has
   /// streams there, it probes those servers at once; otherwise it would notice
   /// the silence up to half a second later and probe all members.
-  void on_peer_suspicion(const suspicion& report);
+  void handle_suspicion(const suspicion& report);
 
   /// Called with a server that does not respond.
   std::function<void(const std::string&)> on_suspect;
--- a/test/repeat-fleet-test.cc
+++ b/test/repeat-fleet-test.cc
@@ -59,7 +59,7 @@
         removed_rule(m),
         random{std::mt19937_64(seed)} {
     for (int i = 0; i < nodes; ++i) this->nodes.emplace_back(limits, old_start);
-    for (auto& n : this->nodes) n.fleet.note(nodes, start);
+    for (auto& n : this->nodes) n.fleet.record(nodes, start);
   }
 
   void run(absl::Duration time) {
@@ -124,7 +124,7 @@
           n.partitioned ? 1 : static_cast<int>(this->nodes.size());
       // Like a real node: one that hears from no other may be partitioned.
       if (!n.partitioned && this->now - n.started >= absl::Seconds(4)) {
-        n.fleet.note(live_nodes, this->now);
+        n.fleet.record(live_nodes, this->now);
       }
       if (slots_open) this->send_waiting(n);
       if (this->chance(rate)) this->handle_request(n);
@@ -141,7 +141,7 @@
       n = node(this->limits, forgets_usage ? old_start : this->now);
       n.partitioned = partitioned;
       if (forgets_usage)
-        n.fleet.note(static_cast<int>(this->nodes.size()), start);
+        n.fleet.record(static_cast<int>(this->nodes.size()), start);
     }
   }
 
@@ -159,7 +159,7 @@
 
   std::optional<int> sharing_nodes(node& n) {
     if (this->removed_rule != mutant::live_nodes_only)
-      return n.fleet.most(this->now);
+      return n.fleet.peak(this->now);
     return n.partitioned ? 1 : static_cast<int>(this->nodes.size());
   }
 
