--- a/include/spokesail/demand-window.h
+++ b/include/spokesail/demand-window.h
@@ -28,11 +28,11 @@
   /// Counts a request that arrived. Returns false if the model is beyond the
   /// bound and not counted.
   bool count_arrival(const std::string& service, const std::string& model,
-              const request_size& size, absl::Time now);
+                     const request_size& size, absl::Time now);
 
   /// Counts an arrived request as refused for lack of capacity.
   void count_refusal(const std::string& service, const std::string& model,
-              absl::Time now);
+                     absl::Time now);
 
   /// Rates over the last whole seconds of each model ever requested. A model
   /// without requests is included with zero rates.
--- a/include/spokesail/effect.h
+++ b/include/spokesail/effect.h
@@ -79,22 +79,22 @@
 };
 
 /// Start an attempt.
-struct start_effect {
+struct start_attempt_effect {
   attempt_start content;
-  bool operator==(const start_effect&) const = default;
+  bool operator==(const start_attempt_effect&) const = default;
 };
 
 /// Cancel an attempt and close its connection.
-struct cancel_effect {
+struct cancel_attempt_effect {
   std::string attempt;
-  bool operator==(const cancel_effect&) const = default;
+  bool operator==(const cancel_attempt_effect&) const = default;
 };
 
 /// End a request with its outcome.
-struct finish_effect {
+struct finish_request_effect {
   uint64_t request = 0;
   outcome result;
-  bool operator==(const finish_effect&) const = default;
+  bool operator==(const finish_request_effect&) const = default;
 };
 
 /// One field of a log line.
@@ -113,10 +113,10 @@
 };
 
 /// Reply to a status query with JSON text.
-struct status_effect {
+struct status_reply_effect {
   uint64_t token = 0;
   std::string text;
-  bool operator==(const status_effect&) const = default;
+  bool operator==(const status_reply_effect&) const = default;
 };
 
 /// Publish the node's readiness and gauges.
@@ -139,8 +139,9 @@
 using effect =
     std::variant<watch_effect, poll_effect, platform_effect, probe_effect,
                  order_effect, heartbeat_effect, heartbeat_ack_effect,
-                 push_effect, pull_effect, pull_reply_effect, start_effect,
-                 cancel_effect, finish_effect, log_effect, status_effect,
+                 push_effect, pull_effect, pull_reply_effect,
+                 start_attempt_effect, cancel_attempt_effect,
+                 finish_request_effect, log_effect, status_reply_effect,
                  gauges_effect, exit_effect>;
 
 }  // namespace spokesail
--- a/include/spokesail/event.h
+++ b/include/spokesail/event.h
@@ -20,7 +20,7 @@
 
 /// A watch of the platform delivered an object.
 struct object_event {
-  object seen;
+  object updated_object;
 };
 
 /// A complete list of a kind. Known objects that it lacks have been deleted.
@@ -94,7 +94,7 @@
 };
 
 /// A caller closed its connection.
-struct caller_gone_event {
+struct caller_disconnected_event {
   uint64_t request = 0;
 };
 
@@ -110,7 +110,7 @@
     std::variant<tick_event, object_event, list_event, peer_objects_event,
                  pull_event, probe_event, heartbeat_event, heartbeat_ack_event,
                  platform_event, order_event, request_event, attempt_event,
-                 caller_gone_event, stop_event, status_event>;
+                 caller_disconnected_event, stop_event, status_event>;
 
 /// An event and its time, on a clock that keeps running while the machine is
 /// suspended.
--- a/include/spokesail/platform-adapter.h
+++ b/include/spokesail/platform-adapter.h
@@ -45,14 +45,14 @@
   /// API key of its workspace; empty if the header is missing.
   std::string key;
   /// How long the caller waits; nothing if the header is missing.
-  std::optional<absl::Duration> patience;
+  std::optional<absl::Duration> time_limit;
   /// Empty for calls of plain services.
   std::string model;
   double prompt_tokens = 0;
   /// Maximum number of tokens to generate.
-  double answer_limit = 0;
+  double max_answer_tokens = 0;
   /// The caller's estimate of the answer's length in tokens; 0 if none.
-  double answer_hint = 0;
+  double expected_answer_tokens = 0;
   /// Last event received of a stream that the caller resumes; -1 if none.
   int64_t last_event = -1;
   bool operator==(const caller_request&) const = default;
@@ -79,16 +79,16 @@
   bool not_run = false;
   /// Whether the response carries the server's stamp. A response without one
   /// may not come from the server itself.
-  bool stamped = false;
+  bool has_server_stamp = false;
   /// Server that caused a group to refuse a request; empty if unknown.
-  std::string at_fault;
+  std::string faulty_server;
   /// How long the server keeps the connection open; nothing if not stated.
   std::optional<absl::Duration> keep_alive;
   /// Advertised request rate limit across all nodes, in requests per second;
   /// nothing if the header is missing or invalid.
   std::optional<double> limit_per_s;
   /// Whether the limit header is present but invalid.
-  bool limit_unreadable = false;
+  bool limit_invalid = false;
   bool operator==(const answer_head&) const = default;
 };
 
@@ -110,7 +110,7 @@
                                                   std::string& fault) const = 0;
 
   /// Nothing if a header value is malformed; `fault` then says which.
-  virtual std::optional<caller_request> read_caller(
+  virtual std::optional<caller_request> read_caller_request(
       const http_fields& head, std::string& fault) const = 0;
   /// Sets the headers of a refusal by this node: the request's id and, if above
   /// zero, the time to retry after.
@@ -119,13 +119,14 @@
                              http_fields& head) const = 0;
 
   /// Sets the headers of an attempt on `head`, a copy of the caller's.
-  virtual void write_attempt(const attempt_head& attempt,
-                             http_fields& head) const = 0;
-  virtual answer_head read_answer(unsigned status,
-                                  const http_fields& head) const = 0;
+  virtual void write_attempt_headers(const attempt_head& attempt,
+                                     http_fields& head) const = 0;
+  virtual answer_head read_response_head(unsigned status,
+                                         const http_fields& head) const = 0;
 
   virtual http_request write_order(const group_order& order) const = 0;
-  virtual order_result read_order_answer(const http_response& answer) const = 0;
+  virtual order_result read_order_response(
+      const http_response& answer) const = 0;
   virtual http_request write_report_request(
       const std::string& server) const = 0;
   /// Nothing if the response is not a valid report.
--- a/include/spokesail/staleness.h
+++ b/include/spokesail/staleness.h
@@ -9,14 +9,14 @@
 namespace spokesail {
 
 /// Time since a node's knowledge was last known to be complete and current.
-struct news_age {
+struct snapshot_age {
   /// Since the configuration was known to be in force.
   absl::Duration config = absl::InfiniteDuration();
   /// Since all changes of servers were known.
   absl::Duration servers = absl::InfiniteDuration();
   /// Since the evacuated data halls were known.
   absl::Duration evacuations = absl::InfiniteDuration();
-  bool operator==(const news_age&) const = default;
+  bool operator==(const snapshot_age&) const = default;
 };
 
 /// Time limits that the platform sets for nodes, from their settings.
@@ -36,7 +36,7 @@
 };
 
 /// Whether a relay that reports these ages is too stale to be used.
-bool relay_stale(const news_age& reported, const staleness_bounds& bounds);
+bool relay_stale(const snapshot_age& reported, const staleness_bounds& bounds);
 
 /// Further conditions that decide whether a node reads the store itself.
 struct relay_status {
@@ -49,10 +49,10 @@
 };
 
 /// Whether a node with knowledge of these ages has to read the store itself.
-bool must_watch_store(const news_age& known, const staleness_bounds& bounds,
+bool must_watch_store(const snapshot_age& known, const staleness_bounds& bounds,
                       const relay_status& status);
 
 /// Whether a node may learn too late that a server is leaving.
-bool servers_stale(const news_age& known, const staleness_bounds& bounds);
+bool servers_stale(const snapshot_age& known, const staleness_bounds& bounds);
 
 }  // namespace spokesail
--- a/soak/faulty-relay.cc
+++ b/soak/fault-proxy.cc
@@ -1,5 +1,5 @@
 // Forwards bytes between two connections, with delays and interruptions.
-#include "faulty-relay.h"
+#include "fault-proxy.h"
 
 #include <array>
 #include <boost/asio/co_spawn.hpp>
--- a/soak/soak.h
+++ b/soak/soak.h
@@ -13,7 +13,7 @@
 
 #include "callers.h"
 #include "child-process.h"
-#include "faulty-relay.h"
+#include "fault-proxy.h"
 #include "http-fetch.h"
 
 namespace spokesail::soak {
--- a/src/caller-session.cc
+++ b/src/caller-session.cc
@@ -68,7 +68,7 @@
 
 caller_session::~caller_session() { this->node.sessions.erase(this); }
 
-void caller_session::check_limit(absl::Time now) {
+void caller_session::check_deadlines(absl::Time now) {
   if (now >= this->write_deadline) this->drop_slow_caller();
   if (this->phase == session_phase::serving) return;
   const bool leave = this->phase == session_phase::idle && this->node.closing();
@@ -76,7 +76,7 @@
     detail::close_ignoring_errors(this->socket);
 }
 
-void caller_session::break_off() {
+void caller_session::abort_connection() {
   boost::system::error_code ignored;
   this->socket.set_option(net::socket_base::linger(true, 0), ignored);
   detail::close_ignoring_errors(this->socket);
@@ -90,9 +90,9 @@
         boost::system::error_code failed;
         // Available bytes are the next request: the caller is still connected.
         if (self->socket.available(failed) > 0 && !failed) return;
-        self->gone = true;
-        if (self->current != nullptr) {
-          self->current->abort(abort_cause::caller_gone);
+        self->disconnected = true;
+        if (self->current_exchange != nullptr) {
+          self->current_exchange->abort(abort_cause::caller_gone);
         }
       });
 }
@@ -105,15 +105,15 @@
 
 void caller_session::drop_slow_caller() {
   this->write_deadline = absl::InfiniteFuture();
-  this->gone = true;
+  this->disconnected = true;
   this->node.log.write(log_category::request, "caller_given_up",
                        {{"why", "does not read"},
                         {"held_bytes", std::to_string(this->node.held.held())}},
                        this->node.now());
-  if (this->current != nullptr) {
-    this->current->abort(abort_cause::caller_gone);
+  if (this->current_exchange != nullptr) {
+    this->current_exchange->abort(abort_cause::caller_gone);
   }
-  this->break_off();
+  this->abort_connection();
 }
 
 net::awaitable<bool> caller_session::write(http_response& response) {
@@ -144,7 +144,7 @@
 
 bool caller_session::finish_write(const boost::system::error_code& error) {
   this->write_deadline = absl::InfiniteFuture();
-  if (error) this->gone = true;
+  if (error) this->disconnected = true;
   return !error;
 }
 
@@ -256,14 +256,14 @@
   const bool reusable = co_await run.run();
   boost::system::error_code ignored;
   this->socket.cancel(ignored);
-  co_return reusable && !this->gone;
+  co_return reusable && !this->disconnected;
 }
 
 net::awaitable<void> caller_session::run() {
   const auto self = this->shared_from_this();
   while (co_await this->serve_one()) {
   }
-  if (!this->gone && this->phase == session_phase::serving &&
+  if (!this->disconnected && this->phase == session_phase::serving &&
       this->socket.is_open()) {
     co_await this->close_gracefully();
   }
--- a/src/caller-session.h
+++ b/src/caller-session.h
@@ -31,7 +31,7 @@
   boost::asio::awaitable<void> run();
 
   /// Closes the connection if its phase or a write is overdue.
-  void check_limit(absl::Time now);
+  void check_deadlines(absl::Time now);
 
   /// Sends a complete response. False if the caller has disconnected.
   boost::asio::awaitable<bool> write(http_response& response);
@@ -40,14 +40,14 @@
 
   /// Resets the connection, so that the caller cannot take a truncated response
   /// for a complete one.
-  void break_off();
+  void abort_connection();
 
   node_context& node;
   boost::asio::ip::tcp::socket socket;
   /// The exchange that serves the current request; null while there is none.
-  exchange* current = nullptr;
+  exchange* current_exchange = nullptr;
   /// Whether the caller has closed the connection.
-  bool gone = false;
+  bool disconnected = false;
   session_phase phase = session_phase::idle;
 
  private:
--- a/src/config-reader.cc
+++ b/src/config-reader.cc
@@ -21,7 +21,7 @@
   model_config out;
   out.name = m.name("name");
   out.version = m.text("version", out.version);
-  out.adapters = m.texts("adapters", {});
+  out.adapters = m.string_list("adapters", {});
   out.hosts_per_replica =
       static_cast<int>(m.integer("hosts_per_replica", 1, 1, max_hosts));
   out.replicas = m.integers("replicas", 0, max_replicas);
@@ -33,11 +33,12 @@
       m.integer("max_concurrent", out.max_concurrent, 1, 4096));
   for (const auto& [hall, replicas] : out.replicas) {
     if (replicas > 0 && out.minimum_serving > replicas) {
-      m.fault("minimum_serving", std::to_string(out.minimum_serving),
-              absl::StrCat("at most the ", replicas, " replicas of ", hall));
+      m.add_fault(
+          "minimum_serving", std::to_string(out.minimum_serving),
+          absl::StrCat("at most the ", replicas, " replicas of ", hall));
     }
   }
-  m.finish();
+  m.check_unknown_keys();
   return out;
 }
 
@@ -47,8 +48,8 @@
   out.max_concurrent = static_cast<int>(
       m.integer("max_concurrent", out.max_concurrent, 1, 4096));
   out.repeatable_methods =
-      m.texts("repeatable_methods", out.repeatable_methods);
-  m.finish();
+      m.string_list("repeatable_methods", out.repeatable_methods);
+  m.check_unknown_keys();
   return out;
 }
 
@@ -59,7 +60,7 @@
   out.rate = m.number("rate", out.rate, 0, 1e6);
   out.max_priority =
       static_cast<int>(m.integer("max_priority", out.max_priority, 0, 9));
-  m.finish();
+  m.check_unknown_keys();
   return out;
 }
 
@@ -74,7 +75,7 @@
       m.milliseconds("default_deadline_ms", out.default_deadline, 100, day_ms);
   out.repair_grace =
       m.milliseconds("repair_grace_ms", out.repair_grace, 0, day_ms);
-  m.finish();
+  m.check_unknown_keys();
   return out;
 }
 
@@ -84,7 +85,7 @@
                const std::string& kind) {
   for (const auto& other : all) {
     if (other.name == value.name) {
-      m.fault("name", value.name, "a unique " + kind + " name");
+      m.add_fault("name", value.name, "a unique " + kind + " name");
     }
   }
   all.push_back(std::move(value));
@@ -106,13 +107,13 @@
   }
   if (root.has("limits")) {
     if (limits_seen) {
-      root.fault("limits", "a duplicate", "one in the whole directory");
+      root.add_fault("limits", "a duplicate", "one in the whole directory");
     }
     limits_seen = true;
   }
   yaml_map limits = root.map("limits");
   if (root.has("limits")) out.limits = read_limits(limits);
-  root.finish();
+  root.check_unknown_keys();
 }
 
 template <typename T>
--- a/src/crash-check.cc
+++ b/src/crash-check.cc
@@ -36,7 +36,7 @@
   fetch_result result =
       co_await node.fetcher.fetch(endpoint.address, request, probe_timeout);
   // Retries once, since the server may just have closed a pooled connection.
-  if (result.status == fetch_status::no_answer) {
+  if (result.status == fetch_status::no_response) {
     result =
         co_await node.fetcher.fetch(endpoint.address, request, probe_timeout);
   }
@@ -62,15 +62,16 @@
   const uint64_t instance =
       incarnation_hash(crashed_server, run.endpoint.incarnation);
   node.crashes.add_crash(run.request, instance, run.crash, now);
-  node.log.write(log_category::request, "server_ended_under_request",
-                 {{"identity", to_text(run.request)},
-                  {"server", crashed_server},
-                  {"group", run.endpoint.group},
-                  {"last_event", absl::StrCat(run.crash.point)},
-                  {"begun", run.crash.begun ? "1" : "0"},
-                  {"repeated", run.crash.repeated ? "1" : "0"},
-                  {"servers", absl::StrCat(node.crashes.crash_count(run.request))}},
-                 now);
+  node.log.write(
+      log_category::request, "server_ended_under_request",
+      {{"identity", to_text(run.request)},
+       {"server", crashed_server},
+       {"group", run.endpoint.group},
+       {"last_event", absl::StrCat(run.crash.point)},
+       {"begun", run.crash.begun ? "1" : "0"},
+       {"repeated", run.crash.repeated ? "1" : "0"},
+       {"servers", absl::StrCat(node.crashes.crash_count(run.request))}},
+      now);
 }
 
 }  // namespace spokesail
--- a/src/crash-gossip.cc
+++ b/src/crash-gossip.cc
@@ -50,7 +50,8 @@
   this->link.send(peer, std::move(out));
 }
 
-void crash_gossip::handle_report(const std::string& peer, const crash_report& report) {
+void crash_gossip::handle_report(const std::string& peer,
+                                 const crash_report& report) {
   const absl::Time now = this->node.now();
   if (report.wants_reply) {
     const bool same = report.digest == this->node.crashes.digest();
--- a/src/daemon.cc
+++ b/src/daemon.cc
@@ -193,12 +193,14 @@
   void execute(const pull_reply_effect& e) {
     this->link->reply_pull(e.token, e.objects);
   }
-  void execute(const start_effect& e) { this->entry->start(e.content); }
-  void execute(const cancel_effect& e) { this->entry->cancel(e.attempt); }
-  void execute(const finish_effect& e) {
+  void execute(const start_attempt_effect& e) { this->entry->start(e.content); }
+  void execute(const cancel_attempt_effect& e) {
+    this->entry->cancel(e.attempt);
+  }
+  void execute(const finish_request_effect& e) {
     this->entry->finish(e.request, e.result);
   }
-  void execute(const status_effect& e) {
+  void execute(const status_reply_effect& e) {
     this->entry->answer_status(e.token, e.text);
   }
   void execute(const gauges_effect& e) {
--- a/src/detail/node-step.h
+++ b/src/detail/node-step.h
@@ -38,7 +38,7 @@
   // Requests: node-request.cc
   void on(const request_event& e);
   void on(const attempt_event& e);
-  void on(const caller_gone_event& e);
+  void on(const caller_disconnected_event& e);
   void on(const stop_event& e);
   void tick_requests();
 
--- a/src/end-to-end.cc
+++ b/src/end-to-end.cc
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-void copy_end_to_end(const http_fields& from, http_fields& to) {
+void copy_end_to_end_headers(const http_fields& from, http_fields& to) {
   const auto named = from[http::field::connection];
   const auto connection = to_lower({named.data(), named.size()});
   std::set<std::string> connection_options;
--- a/src/entry.cc
+++ b/src/entry.cc
@@ -420,7 +420,7 @@
         sink.is_writable() &&
         (bytes.empty() || sink.write(bytes.data(), bytes.size()));
     if (!connected) {
-      this->post(caller_gone_event{c->id});
+      this->post(caller_disconnected_event{c->id});
       return false;
     }
     if (!ended) return true;
--- a/src/grant-coordinator.cc
+++ b/src/grant-coordinator.cc
@@ -130,7 +130,7 @@
 }
 
 void grant_coordinator::handle_request(const std::string& peer,
-                               const grant_request& request) {
+                                       const grant_request& request) {
   if (!this->manager.holds()) return;
   grant_response out = this->grant(peer, request, this->node.now());
   // A node that gets no response sends another request.
@@ -139,7 +139,7 @@
 }
 
 void grant_coordinator::handle_response(const std::string& peer,
-                             const grant_response& response) {
+                                        const grant_response& response) {
   const absl::Time now = this->node.now();
   for (const auto& report : response.limits)
     this->node.limits.merge_report(report, now);
--- a/src/group-controller-runner.cc
+++ b/src/group-controller-runner.cc
@@ -120,7 +120,7 @@
   if (result.status == fetch_status::not_sent)
     outcome = order_result::unreachable;
   if (result.status == fetch_status::ok) {
-    outcome = this->node.adapter.read_order_answer(result.response);
+    outcome = this->node.adapter.read_order_response(result.response);
   }
   this->node.metrics.count_order(order_name(order.kind),
                                  order_result_name(outcome));
--- a/src/http-fetch.cc
+++ b/src/http-fetch.cc
@@ -95,7 +95,7 @@
   }
   request.set(http::field::user_agent, this->agent);
   request.prepare_payload();
-  out.status = fetch_status::no_answer;
+  out.status = fetch_status::no_response;
   auto [write_error, written] =
       co_await http::async_write(*socket, request, use_tuple);
   if (write_error) {
--- a/src/http-fetch.h
+++ b/src/http-fetch.h
@@ -30,7 +30,7 @@
   /// No connection was made, so nothing was sent.
   not_sent,
   /// Sent at least in part, but no complete response was received.
-  no_answer
+  no_response
 };
 
 /// The result of a call.
--- a/src/limit-gossip.cc
+++ b/src/limit-gossip.cc
@@ -12,7 +12,8 @@
 
 }  // namespace
 
-void limit_gossip::handle_reports(const std::string& peer, const limit_update& update) {
+void limit_gossip::handle_reports(const std::string& peer,
+                                  const limit_update& update) {
   const absl::Time now = this->node.now();
   for (const limit_report& report : update.reports) {
     const std::optional<double> previous =
--- a/src/load-table.cc
+++ b/src/load-table.cc
@@ -14,7 +14,8 @@
   load.pending_prefill_tokens += prompt_tokens;
 }
 
-void load_table::finish_prefill(const std::string& endpoint, double prompt_tokens) {
+void load_table::finish_prefill(const std::string& endpoint,
+                                double prompt_tokens) {
   const auto found = this->own_sums.find(endpoint);
   if (found == this->own_sums.end()) return;
   found->second.pending_prefill_tokens =
--- a/src/node-context.cc
+++ b/src/node-context.cc
@@ -55,7 +55,7 @@
   return this->now() - this->config_verified_at;
 }
 
-news_age node_context::age() const {
+snapshot_age node_context::age() const {
   const absl::Time now = this->now();
   return {this->config_age(), now - this->servers_verified_at,
           this->evacuations.age(now)};
--- a/src/node-context.h
+++ b/src/node-context.h
@@ -174,7 +174,7 @@
   /// Time since the configuration was last verified as current.
   absl::Duration config_age() const;
   /// Ages of the configuration, the servers and the evacuations.
-  news_age age() const;
+  snapshot_age age() const;
   /// Whether the configuration was verified as current recently enough.
   bool config_fresh() const;
   /// Whether requests with a known key may be served. Where keys need not fail
--- a/src/node-gossip.cc
+++ b/src/node-gossip.cc
@@ -31,7 +31,8 @@
 
 }  // namespace
 
-void node_gossip::handle_gossip(const std::string& peer, const gossip& message) {
+void node_gossip::handle_gossip(const std::string& peer,
+                                const gossip& message) {
   const absl::Time now = this->node.now();
   if (message.requests_seen) this->node.requests_seen = true;
   if (message.holder) this->apply_holder_state(*message.holder);
--- a/src/node-process.cc
+++ b/src/node-process.cc
@@ -315,7 +315,7 @@
 
 void node_process::run_housekeeping(absl::Time now) {
   const auto sessions = this->state.sessions;
-  for (caller_session* session : sessions) session->check_limit(now);
+  for (caller_session* session : sessions) session->check_deadlines(now);
   this->state.pool.expire(now);
   this->fetcher.close_idle(fetch_idle_timeout, now);
   std::erase_if(this->state.avoided_until,
@@ -350,7 +350,7 @@
 }
 
 void node_process::log_servers_age(absl::Time now) {
-  const news_age age = this->state.age();
+  const snapshot_age age = this->state.age();
   const bool stale = servers_stale(age, this->settings.bounds);
   if (!this->state.directory_listed || stale == this->logged_servers_late)
     return;
@@ -367,7 +367,7 @@
       this->state.evacuations.closed_halls(this->state.servers_verified_at);
   if (closed == this->logged_closed_halls) return;
   this->logged_closed_halls = std::move(closed);
-  const news_age age = this->state.age();
+  const snapshot_age age = this->state.age();
   this->log.state_change(
       "halls_closed",
       {{"halls", absl::StrJoin(this->logged_closed_halls, ",")},
--- a/src/node-request.cc
+++ b/src/node-request.cc
@@ -108,13 +108,13 @@
 
 void node_step::emit_requests(request_actions& actions) {
   for (auto& attempt : actions.cancels) {
-    this->emit(cancel_effect{std::move(attempt)});
+    this->emit(cancel_attempt_effect{std::move(attempt)});
   }
   for (auto& start : actions.starts) {
-    this->emit(start_effect{std::move(start)});
+    this->emit(start_attempt_effect{std::move(start)});
   }
   for (auto& finish : actions.finishes) {
-    this->emit(finish_effect{finish.request, std::move(finish.result)});
+    this->emit(finish_request_effect{finish.request, std::move(finish.result)});
   }
 }
 
@@ -143,7 +143,7 @@
   this->emit_requests(actions);
 }
 
-void node_step::on(const caller_gone_event& e) {
+void node_step::on(const caller_disconnected_event& e) {
   request_actions actions;
   this->s.requests.caller_gone(e.request, actions);
   this->emit_requests(actions);
--- a/src/node-settings.cc
+++ b/src/node-settings.cc
@@ -46,7 +46,7 @@
   groups.leaving_member_grace = leave_hold_fraction * staleness.drain_deadline;
   groups.load_window = seconds(bounds, "load_window_s", groups.load_window);
   groups.load_excess = bounds.number("load_excess", groups.load_excess, 0, 10);
-  bounds.finish();
+  bounds.check_unknown_keys();
 }
 
 void read_policy(yaml_map map, node_settings& out) {
@@ -61,7 +61,7 @@
   groups.spares_serve = map.boolean("spares_serve", groups.spares_serve);
   groups.smaller_yield = map.boolean("smaller_yield", groups.smaller_yield);
   groups.warm_spares = map.boolean("warm_spares", groups.warm_spares);
-  map.finish();
+  map.check_unknown_keys();
 }
 
 }  // namespace
@@ -85,7 +85,7 @@
   out.ready_address = listen.address("ready", true);
   out.metrics_address = listen.address("metrics", true);
   out.peer_address = listen.address("peers", true);
-  listen.finish();
+  listen.check_unknown_keys();
   out.platform_address = root.address("platform", true);
   // Narrowed to float as in messages, so that equal nodes compare equal.
   out.cores = static_cast<float>(root.number("cores", out.cores, 0.001, 1024));
@@ -95,7 +95,7 @@
                bytes_per_mb;
   read_bounds(root.map("bounds"), out);
   read_policy(root.map("policy"), out);
-  root.finish();
+  root.check_unknown_keys();
   if (!error.faults.empty()) return boost::leaf::new_error(std::move(error));
   return out;
 }
--- a/src/node-status.cc
+++ b/src/node-status.cc
@@ -67,7 +67,7 @@
     }
     out["groups"].push_back(std::move(one));
   }
-  this->emit(status_effect{e.token, out.dump()});
+  this->emit(status_reply_effect{e.token, out.dump()});
 }
 
 int node_step::stranded_accelerators() const {
--- a/src/node-view.cc
+++ b/src/node-view.cc
@@ -140,14 +140,14 @@
 
 void node_step::on(const object_event& e) {
   this->s.last_platform_contact = this->now;
-  if (e.seen.key.kind == kinds::lease) {
-    if (e.seen.key.name == this->s.options.self.hall) {
-      this->s.hall_controller.hall_lease().observe(e.seen, this->now,
+  if (e.updated_object.key.kind == kinds::lease) {
+    if (e.updated_object.key.name == this->s.options.self.hall) {
+      this->s.hall_controller.hall_lease().observe(e.updated_object, this->now,
                                                    this->s.random.unit());
     }
     return;
   }
-  this->merge({e.seen}, true);
+  this->merge({e.updated_object}, true);
 }
 
 void node_step::on(const list_event& e) {
--- a/src/remote-gossip.cc
+++ b/src/remote-gossip.cc
@@ -115,7 +115,7 @@
 }
 
 void remote_gossip::handle_gossip(const std::string& peer, const gossip& report,
-                            absl::Time now) {
+                                  absl::Time now) {
   const std::string hall = this->link.hall_of(peer);
   if (report.hall_nodes == 0) {
     this->node.loads.update_peer(peer, report.places, now, true);
--- a/src/remote-gossip.h
+++ b/src/remote-gossip.h
@@ -26,7 +26,8 @@
   void send_due(const gossip& own, absl::Time now);
 
   /// Handles gossip from a node of a remote hall.
-  void handle_gossip(const std::string& peer, const gossip& report, absl::Time now);
+  void handle_gossip(const std::string& peer, const gossip& report,
+                     absl::Time now);
 
   /// Handles the loads of remote halls that a relay forwarded.
   void apply_relayed(const std::vector<endpoint_load>& places, int nodes,
--- a/src/request-admission.cc
+++ b/src/request-admission.cc
@@ -340,8 +340,8 @@
                                                      option,
                                                      request.size.prompt);
     if (first_event_ms > time_left_ms) continue;
-    const double chance = probability_in_time(
-        first_event_ms, prediction.left_ms, pool.mean_goal);
+    const double chance =
+        probability_in_time(first_event_ms, prediction.left_ms, pool.mean_goal);
     const double gain = late_value + (1 - late_value) * chance;
     const double net_gain =
         gain - requests_made_late(request, view, option, prediction.error_ms,
--- a/src/request-admit.cc
+++ b/src/request-admit.cc
@@ -197,7 +197,7 @@
   std::optional<endpoint_target> endpoint = this->try_admit(queued, was_queued);
   while (!endpoint && this->last_decision->action == admission_action::wait) {
     co_await this->node.sleep(admission_poll_interval);
-    if (this->session.gone) co_return std::nullopt;
+    if (this->session.disconnected) co_return std::nullopt;
     endpoint = this->try_admit(queued, was_queued);
   }
   if (!endpoint) {
--- a/src/request-answer.cc
+++ b/src/request-answer.cc
@@ -93,7 +93,7 @@
   http_response out;
   out.result(status);
   out.version(http_11);
-  copy_end_to_end(ex.head(), out);
+  copy_end_to_end_headers(ex.head(), out);
   const bool no_body = this->request.method() == http::verb::head;
   if (!no_body) out.body() = std::move(body);
   out.keep_alive(this->keep_alive && !this->node.stopping());
@@ -156,7 +156,7 @@
   http_response out;
   out.result(ex.head().result_int());
   out.version(http_11);
-  copy_end_to_end(ex.head(), out);
+  copy_end_to_end_headers(ex.head(), out);
   this->keep_alive =
       this->keep_alive && this->chunked && !this->node.stopping();
   out.keep_alive(this->keep_alive);
--- a/src/request-handler.cc
+++ b/src/request-handler.cc
@@ -81,7 +81,8 @@
     return this->node.routes && this->node.directory_listed &&
            this->node.evacuations_known();
   };
-  while (!is_ready() && !this->session.gone && this->node.now() < until) {
+  while (!is_ready() && !this->session.disconnected &&
+         this->node.now() < until) {
     co_await this->node.sleep(startup_poll_interval);
   }
   this->table = this->node.routes;
@@ -89,7 +90,8 @@
 
 std::optional<request_handler::refusal> request_handler::reason_to_refuse() {
   std::string fault;
-  const auto parsed = this->node.adapter.read_caller(this->request, fault);
+  const auto parsed =
+      this->node.adapter.read_caller_request(this->request, fault);
   if (!parsed) {
     this->last_error = fault;
     return refusal{400, "request head not understood", {}};
@@ -109,7 +111,7 @@
   }
   if (const auto refused = this->match_route()) return refused;
   const absl::Duration timeout =
-      this->info.patience.value_or(this->route->timeout);
+      this->info.time_limit.value_or(this->route->timeout);
   this->deadline = this->arrived + std::min(timeout, this->route->timeout);
   if (const auto refused = this->match_service()) return refused;
   if (!this->quarantined()) return std::nullopt;
@@ -179,7 +181,7 @@
   out.version(http_11);
   out.method_string(this->request.method_string());
   out.target(this->request.target());
-  copy_end_to_end(this->request, out);
+  copy_end_to_end_headers(this->request, out);
   const bool has_length =
       this->request.find(http::field::content_length) != this->request.end() ||
       this->request.find(http::field::transfer_encoding) != this->request.end();
@@ -191,7 +193,7 @@
   head.time_left = std::max(absl::Milliseconds(1), this->time_left());
   head.priority = this->rank();
   head.last_event = this->last_event;
-  this->node.adapter.write_attempt(head, out);
+  this->node.adapter.write_attempt_headers(head, out);
   return out;
 }
 
@@ -225,10 +227,10 @@
 net::awaitable<attempt_result> request_handler::attempt(
     endpoint_target endpoint) {
   exchange ex(this->node, std::move(endpoint), this->info.prompt_tokens);
-  this->session.current = &ex;
+  this->session.current_exchange = &ex;
   struct detach {
     caller_session& session;
-    ~detach() { this->session.current = nullptr; }
+    ~detach() { this->session.current_exchange = nullptr; }
   } detach_at_end{this->session};
   this->prepare_exchange(ex, ex.endpoint);
   this->attempts_made++;
@@ -245,7 +247,7 @@
   const bool head_received = co_await this->send_and_read_head(ex);
   if (!head_received) co_return attempt_result::broken;
   const answer_head head =
-      this->node.adapter.read_answer(ex.head().result_int(), ex.head());
+      this->node.adapter.read_response_head(ex.head().result_int(), ex.head());
   this->update_server_limit(ex, head);
   const std::optional<attempt_result> result = this->classify_head(ex, head);
   if (result) co_return *result;
@@ -296,13 +298,13 @@
   if (head.request_id != this->info.id) return;
   const server_instance server{ex.endpoint.server, ex.endpoint.incarnation};
   const std::optional<double> before = this->node.limits.find(server);
-  if (head.limit_unreadable) {
+  if (head.limit_invalid) {
     this->log_limit("server_limit_unreadable", ex, before, std::nullopt);
     return;
   }
   // A missing header counts only in a stamped response that is not marked as
   // not run; any other may not come from the server itself.
-  if (!head.limit_per_s && (head.not_run || !head.stamped)) return;
+  if (!head.limit_per_s && (head.not_run || !head.has_server_stamp)) return;
   this->node.limits.note_answer(server, head.limit_per_s, ex.sent_at,
                                 this->node.now());
   const std::optional<double> after = this->node.limits.find(server);
@@ -315,11 +317,12 @@
     const exchange& ex, const answer_head& head) {
   const bool known_id = head.request_id == this->info.id;
   if (head.not_run && (known_id || head.request_id.empty())) {
-    this->log_attempt(
-        ex, "not_run",
-        absl::StrCat("status ", ex.head().result_int(), " at ", head.at_fault));
+    this->log_attempt(ex, "not_run",
+                      absl::StrCat("status ", ex.head().result_int(), " at ",
+                                   head.faulty_server));
     this->node.avoid_endpoint(ex.endpoint.load_key());
-    if (!head.at_fault.empty()) this->node.suspect_server(head.at_fault);
+    if (!head.faulty_server.empty())
+      this->node.suspect_server(head.faulty_server);
     return attempt_result::not_run;
   }
   this->possible_runs++;
@@ -335,7 +338,8 @@
 }
 
 bool request_handler::may_retry(attempt_result result) {
-  if (this->session.gone || this->attempts_made >= max_attempts) return false;
+  if (this->session.disconnected || this->attempts_made >= max_attempts)
+    return false;
   if (this->time_left() <= absl::ZeroDuration()) return false;
   if (this->quarantined()) return false;
   if (result == attempt_result::broken &&
@@ -431,7 +435,7 @@
       this->queue_time = this->node.now() - this->arrived;
       this->node.metrics.observe_queue(absl::ToDoubleSeconds(this->queue_time));
     }
-    if (this->session.gone || !endpoint) break;
+    if (this->session.disconnected || !endpoint) break;
     // The request may have been quarantined while it waited.
     if (this->attempts_made > 0 && this->quarantined()) break;
     this->tried_endpoints.insert(endpoint->load_key());
@@ -453,13 +457,13 @@
 }
 
 net::awaitable<bool> request_handler::finish_unserved(attempt_result result) {
-  if (this->session.gone) {
+  if (this->session.disconnected) {
     this->log_end("caller_gone", this->last_error, 0);
     co_return false;
   }
   if (this->head_sent) {
     this->log_end("broken_off", this->last_error, 0);
-    this->session.break_off();
+    this->session.abort_connection();
     co_return false;
   }
   const refusal r = this->final_refusal(result);
@@ -467,7 +471,7 @@
                            this->attempts_made == 0 && this->model != nullptr;
   if (no_capacity) {
     this->node.own_demand.count_refusal(this->service->name, this->model->name,
-                                 this->node.now());
+                                        this->node.now());
   }
   co_return co_await this->send_refusal(r);
 }
--- a/src/request-routing.cc
+++ b/src/request-routing.cc
@@ -85,17 +85,18 @@
   request_size size;
   size.prompt = this->info.prompt_tokens > 0 ? this->info.prompt_tokens
                                              : engine.mean_prompt_tokens;
-  size.answer = this->info.answer_hint > 0 ? this->info.answer_hint
-                                           : engine.mean_answer_tokens;
+  size.answer = this->info.expected_answer_tokens > 0
+                    ? this->info.expected_answer_tokens
+                    : engine.mean_answer_tokens;
   return size;
 }
 
 void request_handler::record_demand() {
   if (!this->node.settings.groups.follow_demand) return;
   if (this->model == nullptr) return;
-  const bool counted =
-      this->node.own_demand.count_arrival(this->service->name, this->model->name,
-                                   this->expected_size(), this->node.now());
+  const bool counted = this->node.own_demand.count_arrival(
+      this->service->name, this->model->name, this->expected_size(),
+      this->node.now());
   if (!counted) this->node.metrics.count_update_event("demand_left_out");
 }
 
--- a/src/settings.cc
+++ b/src/settings.cc
@@ -34,15 +34,15 @@
   node.controller.drain_settle = timing.milliseconds(
       "drain_settle_ms", node.controller.drain_settle, 100, minute_ms);
   if (lease.renew_period + lease.margin >= lease.duration) {
-    timing.fault("lease_renew_ms", absl::FormatDuration(lease.renew_period),
-                 "less than lease_ms without lease_margin_ms");
+    timing.add_fault("lease_renew_ms", absl::FormatDuration(lease.renew_period),
+                     "less than lease_ms without lease_margin_ms");
   }
   if (node.presence_window < node.probe_period + node.heartbeat_period) {
-    timing.fault("presence_window_ms",
-                 absl::FormatDuration(node.presence_window),
-                 "at least probe_ms and beat_ms together");
+    timing.add_fault("presence_window_ms",
+                     absl::FormatDuration(node.presence_window),
+                     "at least probe_ms and beat_ms together");
   }
-  timing.finish();
+  timing.check_unknown_keys();
 }
 
 void read_limits(yaml_map limits, entry_limits& out) {
@@ -51,7 +51,7 @@
   out.body_bytes = limits.integer("body_bytes", out.body_bytes, 1024, 64 << 20);
   out.read_deadline = limits.milliseconds("read_deadline_ms", out.read_deadline,
                                           100, minute_ms);
-  limits.finish();
+  limits.check_unknown_keys();
 }
 
 }  // namespace
@@ -69,15 +69,15 @@
   out.platform_address = platform.address("address", true);
   out.platform_deadline = platform.milliseconds(
       "deadline_ms", out.platform_deadline, 100, minute_ms);
-  platform.finish();
+  platform.check_unknown_keys();
   for (auto& peer : root.maps("peers")) {
     out.peers.push_back({peer.name("hall"), peer.address("address", true)});
-    peer.finish();
+    peer.check_unknown_keys();
   }
   read_limits(root.map("limits"), out.limits);
   out.node.self = out.self;
   read_timing(root.map("timing"), out.node);
-  root.finish();
+  root.check_unknown_keys();
   if (!error.faults.empty()) return boost::leaf::new_error(std::move(error));
   return out;
 }
--- a/src/staleness.cc
+++ b/src/staleness.cc
@@ -39,7 +39,7 @@
 
 /// Whether evacuations are followed and were last known longer ago than this
 /// share of the time within which the evacuated halls have to be empty.
-bool evacuations_stale(const news_age& age, double share,
+bool evacuations_stale(const snapshot_age& age, double share,
                        const staleness_bounds& bounds) {
   return bounds.evacuate_deadline &&
          age.evacuations > share * *bounds.evacuate_deadline;
@@ -47,13 +47,13 @@
 
 }  // namespace
 
-bool relay_stale(const news_age& reported, const staleness_bounds& bounds) {
+bool relay_stale(const snapshot_age& reported, const staleness_bounds& bounds) {
   return reported.config > config_limit(relay_stale_share, bounds) ||
          reported.servers > relay_stale_share * bounds.drain_deadline ||
          evacuations_stale(reported, relay_stale_share, bounds);
 }
 
-bool must_watch_store(const news_age& known, const staleness_bounds& bounds,
+bool must_watch_store(const snapshot_age& known, const staleness_bounds& bounds,
                       const relay_status& status) {
   const double share =
       status.may_have_followers ? relay_servers_share : servers_share;
@@ -63,7 +63,7 @@
          known.config > config_limit(unconfirmed_share, bounds);
 }
 
-bool servers_stale(const news_age& known, const staleness_bounds& bounds) {
+bool servers_stale(const snapshot_age& known, const staleness_bounds& bounds) {
   return known.servers > servers_share * bounds.drain_deadline;
 }
 
--- a/src/store-relay.cc
+++ b/src/store-relay.cc
@@ -75,7 +75,7 @@
   // list of peers.
   if (this->relay.empty()) return false;
   if (this->relay == this->node.settings.node) return true;
-  news_age known = this->node.age();
+  snapshot_age known = this->node.age();
   // An update that the relay is about to send is not late yet.
   if (this->expects_servers()) known.servers = absl::ZeroDuration();
   if (this->expects_evacuations()) known.evacuations = absl::ZeroDuration();
@@ -116,7 +116,7 @@
   store_update out;
   out.nonce = nonce;
   out.config_revision = this->node.config_revision;
-  const news_age age = this->node.age();
+  const snapshot_age age = this->node.age();
   out.config_age = wire_age(age.config);
   out.servers_age = wire_age(age.servers);
   if (this->node.evacuations.known()) {
@@ -169,7 +169,7 @@
       update.servers.empty()) {
     return false;
   }
-  news_age age = {update.config_age, update.servers_age};
+  snapshot_age age = {update.config_age, update.servers_age};
   if (update.evacuations) age.evacuations = update.evacuations->age;
   const bool stale = relay_stale(age, this->node.settings.bounds);
   if (!update.store_reachable || stale) {
@@ -187,7 +187,8 @@
   return true;
 }
 
-void store_relay::handle_update(const std::string& peer, const store_update& update) {
+void store_relay::handle_update(const std::string& peer,
+                                const store_update& update) {
   const bool requested = update.nonce != 0;
   this->on_update(update);
   this->apply_evacuated_halls(peer, update);
--- a/src/store-relay.h
+++ b/src/store-relay.h
@@ -46,7 +46,8 @@
   /// Sends new changes to followers.
   void push();
 
-  void handle_request(const std::string& peer, const store_update_request& request);
+  void handle_request(const std::string& peer,
+                      const store_update_request& request);
   void handle_update(const std::string& peer, const store_update& update);
 
   /// Name of the node that holds the controller's lease; empty if unknown.
@@ -96,8 +97,7 @@
   void report_gap(const std::string& peer, const store_update& update);
   /// Sends a peer all changes of servers after `from` and the rest of the
   /// update, in response to a request or unrequested (0).
-  void send_update(const std::string& peer, int64_t from,
-                   uint64_t nonce);
+  void send_update(const std::string& peer, int64_t from, uint64_t nonce);
   /// Excludes a relay for a while.
   void exclude_relay(const std::string& peer, absl::Duration time,
                      const char* why);
--- a/src/yaml.cc
+++ b/src/yaml.cc
@@ -43,8 +43,8 @@
   return this->node.IsDefined() ? this->node.Mark().line + 1 : 0;
 }
 
-void yaml_map::fault(const std::string& key, const std::string& given,
-                     const std::string& allowed) {
+void yaml_map::add_fault(const std::string& key, const std::string& given,
+                         const std::string& allowed) {
   int at = this->line();
   if (this->node.IsMap() && this->node[key].IsDefined()) {
     at = this->node[key].Mark().line + 1;
@@ -69,7 +69,7 @@
   const YAML::Node value = this->get(key);
   if (!value.IsDefined()) return fallback;
   if (value.IsScalar()) return value.Scalar();
-  this->fault(key, describe_value(value), "a string");
+  this->add_fault(key, describe_value(value), "a string");
   return fallback;
 }
 
@@ -80,8 +80,8 @@
           "abcdefghijklmnopqrstuvwxyz"
           "ABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.") == std::string::npos;
   if (value.empty() || !valid) {
-    this->fault(key, value.empty() ? "nothing" : value,
-                "a name of letters, digits, '-', '_' and '.'");
+    this->add_fault(key, value.empty() ? "nothing" : value,
+                    "a name of letters, digits, '-', '_' and '.'");
   }
   return value;
 }
@@ -90,8 +90,8 @@
   std::string value = this->text(key, "");
   if (value.empty() && !required) return value;
   if (!valid_address(value)) {
-    this->fault(key, value.empty() ? "nothing" : value,
-                "an IP number and port, such as 127.0.0.1:8080");
+    this->add_fault(key, value.empty() ? "nothing" : value,
+                    "an IP number and port, such as 127.0.0.1:8080");
   }
   return value;
 }
@@ -103,8 +103,9 @@
   int64_t parsed = 0;
   const bool ok = value.IsScalar() && absl::SimpleAtoi(value.Scalar(), &parsed);
   if (ok && parsed >= min_value && parsed <= max_value) return parsed;
-  this->fault(key, describe_value(value),
-              absl::StrCat("an integer from ", min_value, " to ", max_value));
+  this->add_fault(
+      key, describe_value(value),
+      absl::StrCat("an integer from ", min_value, " to ", max_value));
   return fallback;
 }
 
@@ -115,8 +116,8 @@
   double parsed = 0;
   const bool ok = value.IsScalar() && absl::SimpleAtod(value.Scalar(), &parsed);
   if (ok && parsed >= min_value && parsed <= max_value) return parsed;
-  this->fault(key, describe_value(value),
-              absl::StrCat("a number from ", min_value, " to ", max_value));
+  this->add_fault(key, describe_value(value),
+                  absl::StrCat("a number from ", min_value, " to ", max_value));
   return fallback;
 }
 
@@ -127,7 +128,7 @@
   if (value.IsScalar() && absl::SimpleAtob(value.Scalar(), &parsed)) {
     return parsed;
   }
-  this->fault(key, describe_value(value), "true or false");
+  this->add_fault(key, describe_value(value), "true or false");
   return fallback;
 }
 
@@ -138,7 +139,7 @@
       key, absl::ToInt64Milliseconds(fallback), min_value, max_value));
 }
 
-std::vector<std::string> yaml_map::texts(
+std::vector<std::string> yaml_map::string_list(
     const std::string& key, const std::vector<std::string>& fallback) {
   const YAML::Node value = this->get(key);
   if (!value.IsDefined()) return fallback;
@@ -149,7 +150,7 @@
     if (ok) all.push_back(value[i].Scalar());
   }
   if (ok) return all;
-  this->fault(key, describe_value(value), "a list of strings");
+  this->add_fault(key, describe_value(value), "a list of strings");
   return fallback;
 }
 
@@ -171,14 +172,14 @@
   std::vector<yaml_map> all;
   if (!value.IsDefined()) return all;
   if (!value.IsSequence()) {
-    this->fault(key, describe_value(value), "a list of maps");
+    this->add_fault(key, describe_value(value), "a list of maps");
     return all;
   }
   for (size_t i = 0; i < value.size(); i++) {
     std::string at = absl::StrCat(this->path.empty() ? "" : this->path + ".",
                                   key, "[", i, "]");
     if (!value[i].IsMap()) {
-      this->fault(key, describe_value(value[i]), "a list of maps");
+      this->add_fault(key, describe_value(value[i]), "a list of maps");
       continue;
     }
     all.emplace_back(value[i], this->file, std::move(at), *this->faults);
@@ -190,13 +191,13 @@
   const YAML::Node value = this->get(key);
   std::string at = this->path.empty() ? key : this->path + "." + key;
   if (value.IsDefined() && !value.IsMap()) {
-    this->fault(key, describe_value(value), "a map");
+    this->add_fault(key, describe_value(value), "a map");
     return {YAML::Node(), this->file, std::move(at), *this->faults};
   }
   return {value, this->file, std::move(at), *this->faults};
 }
 
-void yaml_map::finish() {
+void yaml_map::check_unknown_keys() {
   if (!this->node.IsMap()) return;
   std::string allowed;
   for (const auto& key : this->known_keys) {
--- a/src/yaml.h
+++ b/src/yaml.h
@@ -31,8 +31,8 @@
   /// A duration in milliseconds.
   absl::Duration milliseconds(const std::string& key, absl::Duration fallback,
                               int64_t min_value, int64_t max_value);
-  std::vector<std::string> texts(const std::string& key,
-                                 const std::vector<std::string>& fallback);
+  std::vector<std::string> string_list(
+      const std::string& key, const std::vector<std::string>& fallback);
   /// A map from names to integers.
   std::map<std::string, int> integers(const std::string& key, int64_t min_value,
                                       int64_t max_value);
@@ -43,10 +43,10 @@
 
   bool has(const std::string& key) const;
   /// Adds a fault about `key`.
-  void fault(const std::string& key, const std::string& given,
-             const std::string& allowed);
+  void add_fault(const std::string& key, const std::string& given,
+                 const std::string& allowed);
   /// Adds a fault for each key of the map that was never read.
-  void finish();
+  void check_unknown_keys();
   /// Line of the map in the file, counted from 1; 0 if the map is missing.
   int line() const;
 
--- a/standin/fleet-steering.cc
+++ b/standin/fleet-control.cc
@@ -1,5 +1,5 @@
 // Implementation of the control calls.
-#include "fleet-steering.h"
+#include "fleet-control.h"
 
 #include <absl/time/clock.h>
 
@@ -16,7 +16,7 @@
   }
   if (call == "/faults") return this->set_faults(body);
   if (call == "/dark") {
-    this->fleet.engines().set_dark(body.at("server"), body.at("dark"));
+    this->fleet.engines().set_isolated(body.at("server"), body.at("dark"));
     return json::object();
   }
   if (call == "/drain") {
@@ -30,7 +30,7 @@
   return {{"runs", this->fleet.record.runs},
           {"workspaces", this->fleet.record.workspaces},
           {"breaches", this->fleet.engines().breaches()},
-          {"servers", this->fleet.engines().living()},
+          {"servers", this->fleet.engines().live_servers()},
           {"serving", this->fleet.serving("large")}};
 }
 
--- a/standin/fleet-emulator.cc
+++ b/standin/fleet-emulator.cc
@@ -68,7 +68,7 @@
   this->publish(s, now);
 }
 
-void fleet_emulator::set_dark(const std::string& id, bool isolated) {
+void fleet_emulator::set_isolated(const std::string& id, bool isolated) {
   this->servers.at(id).isolated = isolated;
 }
 
@@ -309,7 +309,8 @@
   return order_result::conflict;
 }
 
-order_result fleet_emulator::give(const group_order& order, absl::Time now) {
+order_result fleet_emulator::send_order(const group_order& order,
+                                        absl::Time now) {
   const auto found = this->servers.find(order.server);
   if (found == this->servers.end() || !found->second.alive) {
     return order_result::unreachable;
@@ -365,7 +366,7 @@
   return membership.rank == 0 && membership.phase == member_phase::open;
 }
 
-bool fleet_emulator::group_in_place(const std::string& id) const {
+bool fleet_emulator::group_complete(const std::string& id) const {
   const server& head = this->servers.at(id);
   return !head.isolated &&
          std::all_of(head.members.begin(), head.members.end(),
@@ -374,7 +375,7 @@
                      });
 }
 
-std::vector<std::string> fleet_emulator::living() const {
+std::vector<std::string> fleet_emulator::live_servers() const {
   std::vector<std::string> out;
   for (const auto& [id, s] : this->servers) {
     if (s.alive) out.push_back(id);
--- a/standin/fleet-emulator.h
+++ b/standin/fleet-emulator.h
@@ -60,7 +60,7 @@
   void restart(const std::string& id, absl::Time now);
 
   /// Isolates a server from callers and from its group, or ends the isolation.
-  void set_dark(const std::string& id, bool isolated);
+  void set_isolated(const std::string& id, bool isolated);
 
   /// Marks a server as draining in its entry.
   void drain(const std::string& id, absl::Time now);
@@ -70,7 +70,7 @@
   void advance(absl::Time now);
 
   /// Sends an order. The result is the one that the sender receives.
-  order_result give(const group_order& order, absl::Time now);
+  order_result send_order(const group_order& order, absl::Time now);
 
   /// A server's report; nullopt if the server is down or isolated.
   std::optional<server_report> report(const std::string& id) const;
@@ -84,10 +84,10 @@
   /// Whether a server accepts requests: it is the head of an open group.
   bool is_open_head(const std::string& id) const;
   /// Whether all members of a server's group are reachable and belong to it.
-  bool group_in_place(const std::string& id) const;
+  bool group_complete(const std::string& id) const;
 
   /// Ids of the servers that run.
-  std::vector<std::string> living() const;
+  std::vector<std::string> live_servers() const;
 
   /// Descriptions of the rules that orders or openings have broken.
   const std::vector<std::string>& breaches() const { return this->breach_list; }
--- a/standin/fleet-main.cc
+++ b/standin/fleet-main.cc
@@ -9,9 +9,9 @@
 #include <boost/beast/http/write.hpp>
 #include <memory>
 
+#include "fleet-control.h"
 #include "fleet-loop.h"
 #include "fleet-standin.h"
-#include "fleet-steering.h"
 
 ABSL_FLAG(std::string, address, "127.0.0.1", "IP address of the control API");
 ABSL_FLAG(int, port, 0, "port of the control API");
--- a/standin/fleet-standin.cc
+++ b/standin/fleet-standin.cc
@@ -127,7 +127,7 @@
     const server_entry* entry = this->emulator.directory().find(h->id);
     if (entry == nullptr) continue;
     if (group_model(entry->membership.group) != model) continue;
-    if (this->emulator.group_in_place(h->id)) return h->id;
+    if (this->emulator.group_complete(h->id)) return h->id;
   }
   return "";
 }
@@ -161,8 +161,8 @@
   auto& entries = this->objects_by_kind["servers"];
   const auto& servers = this->emulator.directory().servers();
   for (const auto& [id, server] : servers) {
-    const auto corrupt = this->faults.spoiled_entries.find(id);
-    const bool intact = corrupt == this->faults.spoiled_entries.end();
+    const auto corrupt = this->faults.corrupt_entries.find(id);
+    const bool intact = corrupt == this->faults.corrupt_entries.end();
     json spec = intact ? entry_json(server.entry) : corrupt->second;
     if (intact) spec["cold_left_ms"] = this->faults.cold_left_ms;
     const auto found = entries.find(id);
@@ -197,7 +197,7 @@
     const bool stream = !h.plain && this->emulator.is_open_head(h.id) &&
                         in.method() == http::verb::post &&
                         in.target() != "/spokesail/order";
-    if (reused && stream && this->faults.end_on_kept) {
+    if (reused && stream && this->faults.end_on_reused_connection) {
       co_await this->crash(h, absl::ZeroDuration());
       break;
     }
@@ -212,7 +212,7 @@
                                                     const request& in) {
   const auto order = read_order(h.id, in.body());
   if (!order) return make_response(400, "");
-  switch (this->emulator.give(*order, absl::Now())) {
+  switch (this->emulator.send_order(*order, absl::Now())) {
     case order_result::begun:
       return make_response(202, "");
     case order_result::already_done:
@@ -239,7 +239,7 @@
 void fleet_standin::record_run(const host& h, const std::string& id) {
   this->record.all_runs.push_back({id, absl::Now(), h.id});
   this->record.runs[id]++;
-  this->record.taken_in[h.hall]++;
+  this->record.requests_by_hall[h.hall]++;
 }
 
 std::string fleet_standin::advertised_limit(const host& h) const {
@@ -349,7 +349,7 @@
   int sent = 0;
   for (int64_t index = after + 1; index < events_per_stream; ++index) {
     co_await sleep_for(event_interval);
-    while (!this->emulator.group_in_place(h.id) ||
+    while (!this->emulator.group_complete(h.id) ||
            this->faults.stalled_head == h.id) {
       if (!socket->is_open()) co_return false;
       co_await sleep_for(poll_interval);
--- a/standin/fleet-standin.h
+++ b/standin/fleet-standin.h
@@ -59,7 +59,7 @@
   int break_after_events = 0;
   /// Replacements for servers' entries, by id, as left by a writer that does
   /// not know the format.
-  std::map<std::string, nlohmann::json> spoiled_entries;
+  std::map<std::string, nlohmann::json> corrupt_entries;
   /// Remaining time, in ms, for which engines report to be slow after a start.
   int cold_left_ms = 0;
   /// Id of a head whose streams stall; none if empty.
@@ -69,7 +69,7 @@
   std::string crash_body;
   /// Engines crash when a stream request arrives on a reused connection, before
   /// they run it, and are replaced a second later.
-  bool end_on_kept = false;
+  bool end_on_reused_connection = false;
   limit_settings limit;
 };
 
@@ -103,12 +103,13 @@
   /// Number of writes by kind, conflicts included.
   std::map<std::string, int> writes;
   /// Number of times that the lease was written without a holder.
-  int lease_given_up = 0;
+  int lease_releases = 0;
   /// Number of runs by data hall.
-  std::map<std::string, int> taken_in;
+  std::map<std::string, int> requests_by_hall;
   /// Number of runs of requests with `crash_body`.
   int crashing_runs = 0;
-  /// Servers that crashed because of `crash_body` or `end_on_kept`.
+  /// Servers that crashed because of `crash_body` or
+  /// `end_on_reused_connection`.
   std::set<std::string> crashed;
 };
 
--- a/standin/fleet-store.cc
+++ b/standin/fleet-store.cc
@@ -148,7 +148,7 @@
   this->record.writes[kind]++;
   if (!stale) this->put(kind, target, spec);
   const bool released = kind == "lease" && spec.value("holder", "x").empty();
-  if (!stale && released) this->record.lease_given_up++;
+  if (!stale && released) this->record.lease_releases++;
   return make_response(stale ? 409 : 200,
                        this->object_json(target, objects[target]).dump());
 }
--- a/test/crash-fleet-test.cc
+++ b/test/crash-fleet-test.cc
@@ -169,8 +169,8 @@
     }
     r.group = up[this->random.below(up.size())];
     r.has_events = false;
-    r.repeated =
-        r.attempts > 0 || this->nodes[r.node].tracker.crash_count(r.identity) > 0;
+    r.repeated = r.attempts > 0 ||
+                 this->nodes[r.node].tracker.crash_count(r.identity) > 0;
     ++r.attempts;
     r.next = this->now + absl::Seconds(this->exponential(
                              absl::ToDoubleSeconds(mean_first_event_time)));
--- a/test/crashing-request-test.cc
+++ b/test/crashing-request-test.cc
@@ -121,9 +121,12 @@
   for (int i = 0; i < 30 && this->crashes() < proving_crashes; ++i) {
     // Leaves kept connections to the groups that serve now.
     for (int k = 0; k < 10; ++k) send(absl::StrCat("first-", i, "-", k), "");
-    this->on_loop([this] { return this->fleet->faults.end_on_kept = true; });
+    this->on_loop(
+        [this] { return this->fleet->faults.end_on_reused_connection = true; });
     EXPECT_EQ(send(absl::StrCat("again-", i), "the same each time"), all_ids());
-    this->on_loop([this] { return this->fleet->faults.end_on_kept = false; });
+    this->on_loop([this] {
+      return this->fleet->faults.end_on_reused_connection = false;
+    });
   }
   EXPECT_GE(this->crashes(), proving_crashes);
   EXPECT_TRUE(this->on_loop([this] {
--- a/test/demand-window-test.cc
+++ b/test/demand-window-test.cc
@@ -41,7 +41,8 @@
   demand_window window;
   const int most = static_cast<int>(demand_window::max_models);
   for (int i = 0; i < 2 * most; ++i) {
-    const bool counted = window.count_arrival("lm", absl::StrCat("m", i), {}, start);
+    const bool counted =
+        window.count_arrival("lm", absl::StrCat("m", i), {}, start);
     EXPECT_EQ(counted, i < most);
   }
   EXPECT_EQ(window.rates(start).size(), demand_window::max_models);
--- a/test/evacuation-test.cc
+++ b/test/evacuation-test.cc
@@ -42,8 +42,9 @@
     });
   }
 
-  int taken_in(const std::string& hall) {
-    return this->on_loop([&] { return this->fleet->record.taken_in[hall]; });
+  int requests_by_hall(const std::string& hall) {
+    return this->on_loop(
+        [&] { return this->fleet->record.requests_by_hall[hall]; });
   }
 
   /// Sends some requests of each kind to each node. Returns whether all were
@@ -81,12 +82,12 @@
 TEST_F(evacuation_test, no_node_sends_to_an_evacuated_hall) {
   this->start(3);
   EXPECT_TRUE(this->all_served());
-  EXPECT_GT(this->taken_in(near_hall), 0);
+  EXPECT_GT(this->requests_by_hall(near_hall), 0);
   this->evacuate(near_hall);
   ASSERT_TRUE(this->wait_for(near_hall, true));
-  const int before = this->taken_in(near_hall);
+  const int before = this->requests_by_hall(near_hall);
   EXPECT_TRUE(this->all_served());
-  EXPECT_EQ(this->taken_in(near_hall), before);
+  EXPECT_EQ(this->requests_by_hall(near_hall), before);
 }
 
 TEST_F(evacuation_test, repeats_and_resumed_streams_avoid_evacuated_halls) {
@@ -103,7 +104,7 @@
   this->on_loop([&] { return this->fleet->faults.fail_plain_calls = 1; });
   this->send_request(request("c", "/look/a"));
   EXPECT_EQ(this->runs("c"), 1);
-  EXPECT_EQ(this->taken_in(near_hall), 0);
+  EXPECT_EQ(this->requests_by_hall(near_hall), 0);
 }
 
 TEST_F(evacuation_test, running_requests_finish_in_an_evacuated_hall) {
@@ -137,9 +138,9 @@
   });
   this->evacuate(near_hall);
   ASSERT_TRUE(this->wait_for(near_hall, true));
-  const int before = this->taken_in(near_hall);
+  const int before = this->requests_by_hall(near_hall);
   EXPECT_TRUE(this->all_served());
-  EXPECT_EQ(this->taken_in(near_hall), before);
+  EXPECT_EQ(this->requests_by_hall(near_hall), before);
   this->end_evacuation(near_hall);
   EXPECT_TRUE(this->wait_for(near_hall, false));
 }
@@ -148,7 +149,7 @@
   this->start(2);
   this->evacuate(near_hall);
   ASSERT_TRUE(this->wait_for(near_hall, true));
-  const int before = this->taken_in(near_hall);
+  const int before = this->requests_by_hall(near_hall);
   this->on_loop([&] {
     // The store refuses it the list, so that it depends on its peers.
     this->fleet->faults.refused_kinds["node-2"] = {"evacuations"};
@@ -163,7 +164,7 @@
   ASSERT_TRUE(
       this->wait_until([&] { return this->nodes[2]->context().ready(); }));
   EXPECT_TRUE(this->all_served());
-  EXPECT_EQ(this->taken_in(near_hall), before);
+  EXPECT_EQ(this->requests_by_hall(near_hall), before);
 }
 
 TEST_F(evacuation_test, node_without_evacuation_state_is_not_ready) {
@@ -192,11 +193,11 @@
   this->start(2);
   this->evacuate(near_hall);
   ASSERT_TRUE(this->wait_for(near_hall, true));
-  const int before = this->taken_in(near_hall);
+  const int before = this->requests_by_hall(near_hall);
   this->end_evacuation(near_hall);
   ASSERT_TRUE(this->wait_for(near_hall, false));
   EXPECT_TRUE(this->all_served());
-  EXPECT_GT(this->taken_in(near_hall), before);
+  EXPECT_GT(this->requests_by_hall(near_hall), before);
 }
 
 TEST_F(evacuation_test, with_all_halls_evacuated_requests_are_refused_at_once) {
@@ -216,14 +217,14 @@
   this->end_evacuation(far_hall);
   ASSERT_TRUE(this->wait_for(far_hall, false));
   EXPECT_TRUE(this->all_served());
-  EXPECT_EQ(this->taken_in(near_hall), 0);
+  EXPECT_EQ(this->requests_by_hall(near_hall), 0);
 }
 
 TEST_F(evacuation_test, evacuations_hold_while_the_store_is_down) {
   this->start(2);
   this->evacuate(near_hall);
   ASSERT_TRUE(this->wait_for(near_hall, true));
-  const int before = this->taken_in(near_hall);
+  const int before = this->requests_by_hall(near_hall);
   this->on_loop([&] { return this->fleet->faults.store_silent = true; });
   ASSERT_TRUE(this->wait_until([&] {
     return std::none_of(
@@ -231,7 +232,7 @@
         [](const auto& node) { return node->context().config_fresh(); });
   }));
   EXPECT_TRUE(this->all_served());
-  EXPECT_EQ(this->taken_in(near_hall), before);
+  EXPECT_EQ(this->requests_by_hall(near_hall), before);
   this->end_evacuation(near_hall);
   this->on_loop([&] { return this->fleet->faults.store_silent = false; });
   EXPECT_TRUE(this->wait_for(near_hall, false));
@@ -244,7 +245,7 @@
   ASSERT_TRUE(this->wait_for("no-such-hall", true));
   ASSERT_TRUE(this->wait_for(near_hall, true));
   EXPECT_TRUE(this->all_served());
-  EXPECT_EQ(this->taken_in(near_hall), 0);
+  EXPECT_EQ(this->requests_by_hall(near_hall), 0);
 }
 
 TEST_F(evacuation_test, holder_forms_no_group_in_an_evacuated_hall) {
@@ -272,7 +273,7 @@
   EXPECT_FALSE(this->on_loop(
       [&] { return this->nodes[0]->context().hall_closed(near_hall); }));
   EXPECT_TRUE(this->all_served());
-  EXPECT_GT(this->taken_in(near_hall), 0);
+  EXPECT_GT(this->requests_by_hall(near_hall), 0);
 }
 
 }  // namespace
--- a/test/fake-hall.cc
+++ b/test/fake-hall.cc
@@ -142,7 +142,7 @@
   for (size_t i = 0; i < this->nodes.size(); i++) {
     fake_node& node = this->nodes[i];
     if (!node.watching) continue;
-    if (node.cut_from_platform || this->platform_down) {
+    if (node.isolated_from_platform || this->platform_down) {
       node.needs_relist = true;
       continue;
     }
@@ -221,13 +221,13 @@
 }
 
 bool fake_hall::reachable(size_t a, size_t b) const {
-  return !this->nodes[a].cut_from_peers && !this->nodes[b].cut_from_peers &&
-         this->nodes[b].alive;
+  return !this->nodes[a].isolated_from_peers &&
+         !this->nodes[b].isolated_from_peers && this->nodes[b].alive;
 }
 
 void fake_hall::send_lists(size_t i, bool with_lease) {
   fake_node& node = this->nodes[i];
-  if (node.cut_from_platform || this->platform_down) {
+  if (node.isolated_from_platform || this->platform_down) {
     node.needs_relist = true;
     return;
   }
@@ -299,12 +299,12 @@
     this->after(this->latency(), [this, to, objects_sent] {
       this->deliver(to, peer_objects_event{objects_sent});
     });
-  } else if (const auto* start = std::get_if<start_effect>(&e)) {
+  } else if (const auto* start = std::get_if<start_attempt_effect>(&e)) {
     this->do_attempt(i, start->content);
-  } else if (const auto* cancel = std::get_if<cancel_effect>(&e)) {
+  } else if (const auto* cancel = std::get_if<cancel_attempt_effect>(&e)) {
     this->cancelled.insert(cancel->attempt);
-  } else if (const auto* finish = std::get_if<finish_effect>(&e)) {
-    this->requests[finish->request].ends.push_back(finish->result);
+  } else if (const auto* finish = std::get_if<finish_request_effect>(&e)) {
+    this->requests[finish->request].outcomes.push_back(finish->result);
   } else if (std::holds_alternative<exit_effect>(e)) {
     node.exited = true;
     this->kill_node(i);
@@ -327,7 +327,7 @@
 void fake_hall::do_call(size_t i, const platform_effect& e) {
   this->platform_calls++;
   const bool platform_unreachable =
-      this->platform_down || this->nodes[i].cut_from_platform;
+      this->platform_down || this->nodes[i].isolated_from_platform;
   const auto answer_later = [this, i, e](absl::Duration delay,
                                          const platform_answer& answer) {
     this->after(delay, [this, i, e, answer] {
@@ -528,14 +528,14 @@
   return open;
 }
 
-placement fake_hall::document() const {
+placement fake_hall::current_placement() const {
   const auto it = this->objects.find({kinds::placement, hall_name});
   if (it == this->objects.end()) return {};
   return json::parse(it->second.body).get<placement>();
 }
 
 void fake_hall::check() {
-  const placement doc = this->document();
+  const placement doc = this->current_placement();
   for (const auto& host : shared_hosts(doc)) {
     this->violations.insert("placement shares host " + host);
   }
@@ -570,13 +570,13 @@
   }
   if (holders > 1) this->violations.insert("two nodes hold the lease");
   for (const auto& [id, r] : this->requests) {
-    if (r.ends.size() > 1) {
+    if (r.outcomes.size() > 1) {
       this->violations.insert(absl::StrCat("request ", id, " ended twice"));
     }
     if (!r.repeatable && r.runs > 1) {
       this->violations.insert(absl::StrCat("request ", id, " ran twice"));
     }
-    if (r.ends.size() == 1 && r.ends[0].kind == outcome_kind::refused &&
+    if (r.outcomes.size() == 1 && r.outcomes[0].kind == outcome_kind::refused &&
         r.runs > 0) {
       this->violations.insert(
           absl::StrCat("request ", id, " was refused but ran"));
--- a/test/fake-hall.h
+++ b/test/fake-hall.h
@@ -34,8 +34,8 @@
   node_state state;
   bool alive = true;
   absl::Time paused_until = absl::InfinitePast();
-  bool cut_from_platform = false;
-  bool cut_from_peers = false;
+  bool isolated_from_platform = false;
+  bool isolated_from_peers = false;
   bool watching = false;
   /// Its watch failed: it has to list again once the platform is reachable.
   bool needs_relist = false;
@@ -52,7 +52,7 @@
 struct fake_request {
   int runs = 0;
   bool repeatable = true;
-  std::vector<outcome> ends;
+  std::vector<outcome> outcomes;
 };
 
 /// Parameters of a simulated hall.
@@ -105,7 +105,7 @@
   /// Number of groups of the model that are open according to a node.
   int open_groups(size_t node, const std::string& model) const;
   /// The placement stored in the platform.
-  placement document() const;
+  placement current_placement() const;
 
   absl::Time now;
   fake_options options;
--- a/test/fleet-adapter-test.cc
+++ b/test/fleet-adapter-test.cc
@@ -262,7 +262,8 @@
   head.set("X-Expect-Instance", "i-9");
   head.set("Authorization", "Bearer k");
   head.set("X-Model", "m");
-  adapter->write_attempt({"i-1", "", absl::Milliseconds(900), 4, -1}, head);
+  adapter->write_attempt_headers({"i-1", "", absl::Milliseconds(900), 4, -1},
+                                 head);
   EXPECT_EQ(head.find("X-Tenant"), head.end());
   EXPECT_EQ(head.find("Authorization"), head.end());
   EXPECT_EQ(head["X-Expect-Instance"], "i-1");
@@ -272,45 +273,45 @@
 
 TEST(fleet_adapter, treats_request_as_not_run_only_if_server_says_so) {
   http_fields plain;
-  EXPECT_FALSE(adapter->read_answer(503, plain).not_run);
-  EXPECT_TRUE(adapter->read_answer(421, plain).not_run);
+  EXPECT_FALSE(adapter->read_response_head(503, plain).not_run);
+  EXPECT_TRUE(adapter->read_response_head(421, plain).not_run);
   plain.set("X-Not-Executed", "1");
-  EXPECT_TRUE(adapter->read_answer(503, plain).not_run);
+  EXPECT_TRUE(adapter->read_response_head(503, plain).not_run);
 }
 
 TEST(fleet_adapter, reads_server_limit) {
   const auto read = [](const char* value) {
     http_fields head;
     head.set("Server-Limit", value);
-    return adapter->read_answer(200, head);
+    return adapter->read_response_head(200, head);
   };
   EXPECT_EQ(read("1.4").limit_per_s, 1.4);
   EXPECT_EQ(read("0").limit_per_s, 0);
   EXPECT_EQ(read("1e9").limit_per_s, 1e9);
   for (const char* value : {"", "many", "-1", "nan", "inf", "1e999", "1.4/s"}) {
     EXPECT_FALSE(read(value).limit_per_s) << value;
-    EXPECT_TRUE(read(value).limit_unreadable) << value;
+    EXPECT_TRUE(read(value).limit_invalid) << value;
   }
-  const answer_head none = adapter->read_answer(200, http_fields());
+  const answer_head none = adapter->read_response_head(200, http_fields());
   EXPECT_FALSE(none.limit_per_s);
-  EXPECT_FALSE(none.limit_unreadable);
+  EXPECT_FALSE(none.limit_invalid);
 }
 
 TEST(fleet_adapter, rejects_conflicting_server_limits) {
   http_fields head;
   head.insert("Server-Limit", "1.4");
   head.insert("Server-Limit", "1.4");
-  EXPECT_EQ(adapter->read_answer(200, head).limit_per_s, 1.4);
+  EXPECT_EQ(adapter->read_response_head(200, head).limit_per_s, 1.4);
   head.insert("Server-Limit", "3");
-  EXPECT_FALSE(adapter->read_answer(200, head).limit_per_s);
-  EXPECT_TRUE(adapter->read_answer(200, head).limit_unreadable);
+  EXPECT_FALSE(adapter->read_response_head(200, head).limit_per_s);
+  EXPECT_TRUE(adapter->read_response_head(200, head).limit_invalid);
 }
 
 TEST(fleet_adapter, ignores_server_limit_of_misdirected_request) {
   http_fields head;
   head.set("Server-Limit", "1.4");
-  EXPECT_EQ(adapter->read_answer(503, head).limit_per_s, 1.4);
-  EXPECT_FALSE(adapter->read_answer(421, head).limit_per_s);
+  EXPECT_EQ(adapter->read_response_head(503, head).limit_per_s, 1.4);
+  EXPECT_FALSE(adapter->read_response_head(421, head).limit_per_s);
 }
 
 TEST(fleet_adapter, reads_callers_request_head) {
@@ -321,15 +322,15 @@
   head.set("X-Token-Usage", "1460,80");
   head.set("Last-Event-Id", "12");
   std::string fault;
-  const auto read = adapter->read_caller(head, fault);
+  const auto read = adapter->read_caller_request(head, fault);
   ASSERT_TRUE(read);
   EXPECT_EQ(read->key, "k");
-  EXPECT_EQ(read->patience, absl::Seconds(8));
+  EXPECT_EQ(read->time_limit, absl::Seconds(8));
   EXPECT_EQ(read->prompt_tokens, 1460);
-  EXPECT_EQ(read->answer_limit, 80);
+  EXPECT_EQ(read->max_answer_tokens, 80);
   EXPECT_EQ(read->last_event, 12);
   head.insert("X-Request-Id", "r2");
-  EXPECT_FALSE(adapter->read_caller(head, fault));
+  EXPECT_FALSE(adapter->read_caller_request(head, fault));
 }
 
 /// Generates JSON of any shape under the field names that the decoders read.
@@ -377,8 +378,8 @@
   head.set("Length-Hint", a);
   head.set("Keep-Alive", b);
   std::string fault;
-  adapter->read_caller(head, fault);
-  adapter->read_answer(200, head);
+  adapter->read_caller_request(head, fault);
+  adapter->read_response_head(200, head);
 }
 
 }  // namespace
--- a/test/fleet-run.h
+++ b/test/fleet-run.h
@@ -55,7 +55,7 @@
     this->max_orders_per_step =
         std::max(this->max_orders_per_step, actions.orders.size());
     for (const auto& order : actions.orders) {
-      const order_result result = this->fleet.give(order, this->now);
+      const order_result result = this->fleet.send_order(order, this->now);
       const bool has_result = result != order_result::unknown;
       const absl::Duration delay =
           has_result ? absl::Milliseconds(5) : absl::Milliseconds(500);
@@ -80,7 +80,7 @@
   }
 
   std::string random_server() {
-    const auto all = this->fleet.living();
+    const auto all = this->fleet.live_servers();
     return all[this->random.below(all.size())];
   }
 
--- a/test/group-controller-test.cc
+++ b/test/group-controller-test.cc
@@ -163,7 +163,7 @@
   }
   const std::string group = run.fleet.directory().find(lost)->membership.group;
   run.controller.set_closed_halls({"h0"});
-  run.fleet.set_dark(lost, true);
+  run.fleet.set_isolated(lost, true);
   run.report_suspect(lost);
   run.run_for(absl::Seconds(10));
   auto expected = before;
@@ -294,7 +294,7 @@
   for (const auto& [id, server] : run.fleet.directory().servers()) {
     const group_membership& membership = server.entry.membership;
     if (membership.phase == member_phase::none) continue;
-    EXPECT_TRUE(run.fleet.group_in_place(id)) << id;
+    EXPECT_TRUE(run.fleet.group_complete(id)) << id;
   }
   EXPECT_TRUE(run.fleet.breaches().empty());
 }
@@ -304,7 +304,7 @@
   const std::string head = member_of(run, "large", 0);
   // The head is unreachable but alive: it may serve callers on the other side
   // of the partition.
-  run.fleet.set_dark(head, true);
+  run.fleet.set_isolated(head, true);
   run.report_suspect(head);
   run.run_for(absl::Seconds(3));
   EXPECT_TRUE(run.fleet.breaches().empty());
@@ -314,7 +314,7 @@
 TEST(group_controller, a_new_holder_does_not_reuse_hosts_whose_head_may_serve) {
   fleet_run run = serving_fleet(4);
   const std::string head = member_of(run, "large", 0);
-  run.fleet.set_dark(head, true);
+  run.fleet.set_isolated(head, true);
   run.report_suspect(head);
   // The holder orders the other members to leave, and then fails.
   run.run_for(absl::Milliseconds(300));
@@ -453,9 +453,9 @@
 TEST(group_controller, steps_down_when_most_servers_are_silent) {
   fleet_run run = serving_fleet(7);
   int count = 0;
-  for (const auto& id : run.fleet.living()) {
+  for (const auto& id : run.fleet.live_servers()) {
     if (++count > 20) break;
-    run.fleet.set_dark(id, true);
+    run.fleet.set_isolated(id, true);
     run.report_suspect(id);
   }
   for (int i = 0; i < 20; ++i) {
@@ -476,7 +476,7 @@
   fleet_run run = serving_fleet(7);
   for (const auto& [id, server] : run.fleet.directory().servers()) {
     if (server.entry.hall != "h0") continue;
-    run.fleet.set_dark(id, true);
+    run.fleet.set_isolated(id, true);
     run.report_suspect(id);
   }
   for (int i = 0; i < 20; ++i) {
@@ -625,12 +625,12 @@
       run.report_suspect(id);
       break;
     case 1:
-      run.fleet.set_dark(id, true);
+      run.fleet.set_isolated(id, true);
       run.report_suspect(id);
       break;
     case 2:
-      for (const auto& other : run.fleet.living()) {
-        run.fleet.set_dark(other, false);
+      for (const auto& other : run.fleet.live_servers()) {
+        run.fleet.set_isolated(other, false);
       }
       break;
     case 3:
@@ -665,8 +665,8 @@
     run.run_for(absl::Milliseconds(100 + 40 * run.random.below(60)));
   }
   run.fleet.faults = {};
-  for (const auto& id : run.fleet.living()) {
-    run.fleet.set_dark(id, false);
+  for (const auto& id : run.fleet.live_servers()) {
+    run.fleet.set_isolated(id, false);
   }
   run.run_for(absl::Seconds(60));
   for (const auto& breach : run.fleet.breaches()) RC_LOG() << breach << "\n";
--- a/test/hall-faults-test.cc
+++ b/test/hall-faults-test.cc
@@ -33,7 +33,7 @@
   }
 
   std::string member(size_t g, size_t rank) {
-    return this->hall.document().groups.at(g).hosts.at(rank);
+    return this->hall.current_placement().groups.at(g).hosts.at(rank);
   }
 
   fake_hall hall{fake_options{}};
@@ -41,18 +41,18 @@
 
 TEST_F(hall_faults, groups_form_and_serve) {
   this->start();
-  EXPECT_EQ(this->hall.document().groups.size(), 2U);
+  EXPECT_EQ(this->hall.current_placement().groups.size(), 2U);
 }
 
 TEST_F(hall_faults, a_lost_member_closes_its_group_and_a_spare_takes_over) {
   this->start();
   const std::string lost = this->member(0, 1);
-  const int64_t before = this->hall.document().groups[0].incarnation;
+  const int64_t before = this->hall.current_placement().groups[0].incarnation;
   this->hall.kill_host(lost);
   EXPECT_TRUE(this->hall.run_until(
       [&] { return this->hall.open_groups(0, "m") == 1; }, absl::Seconds(2)));
   EXPECT_TRUE(this->all_nodes_serve(2, absl::Seconds(30)));
-  const placement after = this->hall.document();
+  const placement after = this->hall.current_placement();
   for (const auto& g : after.groups) {
     for (const auto& host : g.hosts) EXPECT_NE(host, lost);
   }
@@ -72,11 +72,11 @@
 
 TEST_F(hall_faults, a_short_pause_of_a_member_replaces_nothing) {
   this->start();
-  const placement before = this->hall.document();
+  const placement before = this->hall.current_placement();
   this->hall.pause_host(this->member(0, 1), absl::Seconds(2));
   this->hall.run_for(absl::Seconds(5));
   EXPECT_TRUE(this->all_nodes_serve(2, absl::Seconds(5)));
-  EXPECT_EQ(this->hall.document().groups, before.groups);
+  EXPECT_EQ(this->hall.current_placement().groups, before.groups);
 }
 
 TEST_F(hall_faults, a_member_that_returns_after_its_replacement_stays_out) {
@@ -126,12 +126,13 @@
 
 TEST_F(hall_faults, a_killed_holder_is_replaced_with_a_higher_fence) {
   this->start();
-  const int64_t before = this->hall.document().fence;
+  const int64_t before = this->hall.current_placement().fence;
   const int holder = this->hall.leader();
   ASSERT_GE(holder, 0);
   this->hall.kill_node(static_cast<size_t>(holder));
   EXPECT_TRUE(this->hall.run_until(
-      [&] { return this->hall.document().fence > before; }, absl::Seconds(15)));
+      [&] { return this->hall.current_placement().fence > before; },
+      absl::Seconds(15)));
   this->hall.kill_host(this->member(0, 0));
   EXPECT_TRUE(this->all_nodes_serve(2, absl::Seconds(40)));
 }
@@ -152,7 +153,7 @@
   this->start();
   const int holder = this->hall.leader();
   ASSERT_GE(holder, 0);
-  this->hall.nodes[static_cast<size_t>(holder)].cut_from_platform = true;
+  this->hall.nodes[static_cast<size_t>(holder)].isolated_from_platform = true;
   EXPECT_TRUE(this->hall.run_until(
       [&] {
         const int now = this->hall.leader();
@@ -168,11 +169,11 @@
   this->start();
   const int holder = this->hall.leader();
   ASSERT_GE(holder, 0);
-  this->hall.nodes[static_cast<size_t>(holder)].cut_from_peers = true;
+  this->hall.nodes[static_cast<size_t>(holder)].isolated_from_peers = true;
   this->hall.run_for(absl::Seconds(20));
   this->hall.kill_host(this->member(0, 0));
   this->hall.run_for(absl::Seconds(30));
-  this->hall.nodes[static_cast<size_t>(holder)].cut_from_peers = false;
+  this->hall.nodes[static_cast<size_t>(holder)].isolated_from_peers = false;
   EXPECT_TRUE(this->all_nodes_serve(2, absl::Seconds(30)));
 }
 
@@ -193,7 +194,7 @@
   this->hall.lose_answers = 4;
   this->hall.kill_host(this->member(0, 0));
   EXPECT_TRUE(this->all_nodes_serve(2, absl::Seconds(60)));
-  EXPECT_EQ(this->hall.document().groups.size(), 2U);
+  EXPECT_EQ(this->hall.current_placement().groups.size(), 2U);
 }
 
 TEST_F(hall_faults, a_late_order_of_a_previous_holder_opens_nothing) {
@@ -228,7 +229,7 @@
 
 TEST_F(hall_faults, a_leaving_host_gets_no_requests_during_a_platform_outage) {
   this->start();
-  const group leaving_group = this->hall.document().groups.at(0);
+  const group leaving_group = this->hall.current_placement().groups.at(0);
   this->hall.set_leaving(leaving_group.hosts.at(1));
   this->hall.run_for(absl::Milliseconds(10));
   this->hall.platform_down = true;
@@ -252,14 +253,14 @@
     min_open = std::min(min_open, this->hall.open_groups(0, "m"));
   }
   EXPECT_GE(min_open, 1);
-  for (const auto& g : this->hall.document().groups) {
+  for (const auto& g : this->hall.current_placement().groups) {
     EXPECT_EQ(g.version, "2");
     EXPECT_EQ(g.phase, group_phase::serving);
   }
   this->hall.run_for(absl::Seconds(5));
   for (const uint64_t id : sent) {
-    ASSERT_EQ(this->hall.requests[id].ends.size(), 1U);
-    EXPECT_EQ(this->hall.requests[id].ends[0].kind, outcome_kind::answered);
+    ASSERT_EQ(this->hall.requests[id].outcomes.size(), 1U);
+    EXPECT_EQ(this->hall.requests[id].outcomes[0].kind, outcome_kind::answered);
   }
 }
 
@@ -280,10 +281,10 @@
   int answered = 0;
   int failed = 0;
   for (const auto& [id, r] : this->hall.requests) {
-    ASSERT_EQ(r.ends.size(), 1U) << id;
-    answered += r.ends[0].kind == outcome_kind::answered;
-    failed += r.ends[0].kind == outcome_kind::failed;
-    if (r.ends[0].kind == outcome_kind::failed) {
+    ASSERT_EQ(r.outcomes.size(), 1U) << id;
+    answered += r.outcomes[0].kind == outcome_kind::answered;
+    failed += r.outcomes[0].kind == outcome_kind::failed;
+    if (r.outcomes[0].kind == outcome_kind::failed) {
       EXPECT_FALSE(r.repeatable);
     }
   }
@@ -300,8 +301,8 @@
                                   .state;
   this->hall.run_for(absl::Seconds(5));
   EXPECT_TRUE(this->hall.nodes[1].exited);
-  ASSERT_EQ(this->hall.requests[id].ends.size(), 1U);
-  EXPECT_EQ(this->hall.requests[id].ends[0].kind, outcome_kind::answered);
+  ASSERT_EQ(this->hall.requests[id].outcomes.size(), 1U);
+  EXPECT_EQ(this->hall.requests[id].outcomes[0].kind, outcome_kind::answered);
 }
 
 TEST_F(hall_faults, a_node_started_in_an_outage_adopts_its_peers_revision) {
--- a/test/node-test.cc
+++ b/test/node-test.cc
@@ -29,7 +29,7 @@
   const std::string member = this->serving_member();
   ASSERT_FALSE(member.empty());
   this->on_loop([&] {
-    this->fleet->engines().set_dark(member, true);
+    this->fleet->engines().set_isolated(member, true);
     return 0;
   });
   for (int i = 0; i < 8; ++i) {
@@ -119,7 +119,7 @@
   ASSERT_TRUE(
       this->wait_until([this] { return this->fleet->record.runs["r1"] == 1; }));
   this->on_loop([&] {
-    this->fleet->engines().set_dark(member, true);
+    this->fleet->engines().set_isolated(member, true);
     return 0;
   });
   boost::beast::flat_buffer buffer;
@@ -351,13 +351,13 @@
   };
   ASSERT_TRUE(wait_for_presence(true));
   this->on_loop([&] {
-    this->fleet->faults.spoiled_entries[id] = {{"service", 7}};
+    this->fleet->faults.corrupt_entries[id] = {{"service", 7}};
     return 0;
   });
   EXPECT_TRUE(wait_for_presence(false));
   EXPECT_EQ(this->send_request(request("r1", "/look/a")).result_int(), 200U);
   this->on_loop([&] {
-    this->fleet->faults.spoiled_entries.clear();
+    this->fleet->faults.corrupt_entries.clear();
     return 0;
   });
   EXPECT_TRUE(wait_for_presence(true));
@@ -432,7 +432,7 @@
     return now >= 0 && !this->nodes[now]->context().stopping();
   }));
   // The next holder found a released lease, not an expired one.
-  EXPECT_EQ(this->on_loop([&] { return this->fleet->record.lease_given_up; }),
+  EXPECT_EQ(this->on_loop([&] { return this->fleet->record.lease_releases; }),
             1);
 }
 
--- a/test/reducer-test.cc
+++ b/test/reducer-test.cc
@@ -197,7 +197,7 @@
     hall.run_for(absl::Seconds(20));
     hall.kill_host("d0h0");
     hall.run_for(absl::Seconds(20));
-    return std::pair(hall.events, hall.document());
+    return std::pair(hall.events, hall.current_placement());
   };
   EXPECT_EQ(run(), run());
 }
@@ -230,10 +230,10 @@
         hall.pause_node(node, time);
         break;
       case 3:
-        hall.nodes[node].cut_from_platform ^= true;
+        hall.nodes[node].isolated_from_platform ^= true;
         break;
       case 4:
-        hall.nodes[node].cut_from_peers ^= true;
+        hall.nodes[node].isolated_from_peers ^= true;
         break;
       case 5:
         hall.kill_host(host->first);
@@ -274,8 +274,8 @@
   hall.lose_answers = 0;
   hall.order_delay = absl::Milliseconds(1);
   for (size_t i = 0; i < hall.nodes.size(); i++) {
-    hall.nodes[i].cut_from_platform = false;
-    hall.nodes[i].cut_from_peers = false;
+    hall.nodes[i].isolated_from_platform = false;
+    hall.nodes[i].isolated_from_peers = false;
     if (!hall.nodes[i].alive) hall.start_node(i);
   }
   for (auto& [name, host] : hall.hosts) {
--- a/test/scale-bench.cc
+++ b/test/scale-bench.cc
@@ -57,7 +57,7 @@
     const group_actions actions = this->controller.step(
         this->fleet.directory(), this->config, requests_seen, this->now);
     for (const auto& order : actions.orders) {
-      const order_result result = this->fleet.give(order, this->now);
+      const order_result result = this->fleet.send_order(order, this->now);
       this->controller.on_order_result(order, result, this->now);
     }
     for (const auto& id : actions.report_requests) {
--- a/test/staleness-test.cc
+++ b/test/staleness-test.cc
@@ -39,13 +39,13 @@
 /// these would read it: a follower's list is one request period older than its
 /// relay's.
 TEST(staleness, relays_read_the_store_before_their_followers) {
-  const news_age known = {fresh, absl::Seconds(1.6)};
+  const snapshot_age known = {fresh, absl::Seconds(1.6)};
   EXPECT_TRUE(must_watch_store(known, bounds(), {true, true}));
   EXPECT_FALSE(must_watch_store(known, bounds(), {true, false}));
 }
 
 TEST(staleness, stale_configuration_counts_without_a_confirmed_relay) {
-  const news_age known = {absl::Seconds(2.45), fresh};
+  const snapshot_age known = {absl::Seconds(2.45), fresh};
   EXPECT_TRUE(must_watch_store(known, bounds(), {false, false}));
   EXPECT_FALSE(must_watch_store(known, bounds(), {true, false}));
 }
@@ -59,7 +59,7 @@
 }
 
 TEST(staleness, evacuations_count_only_where_they_are_followed) {
-  const news_age known = {fresh, fresh, absl::Seconds(4)};
+  const snapshot_age known = {fresh, fresh, absl::Seconds(4)};
   EXPECT_FALSE(relay_stale(known, bounds()));
   EXPECT_FALSE(must_watch_store(known, bounds(), {true, false}));
   staleness_bounds followed = bounds();
@@ -73,9 +73,9 @@
 TEST(staleness, stale_evacuations_are_read_within_the_bound) {
   staleness_bounds followed = bounds();
   followed.evacuate_deadline = absl::Seconds(5);
-  const news_age old = {fresh, fresh, absl::Seconds(3.3)};
+  const snapshot_age old = {fresh, fresh, absl::Seconds(3.3)};
   EXPECT_TRUE(relay_stale(old, followed));
-  const news_age older = {fresh, fresh, absl::Seconds(2.6)};
+  const snapshot_age older = {fresh, fresh, absl::Seconds(2.6)};
   EXPECT_FALSE(relay_stale(older, followed));
   EXPECT_TRUE(must_watch_store(older, followed, {true, true}));
   EXPECT_FALSE(must_watch_store(older, followed, {true, false}));
--- a/test/uneven-demand-test.cc
+++ b/test/uneven-demand-test.cc
@@ -308,7 +308,7 @@
   fleet.run_for(absl::Seconds(20));
   for (const auto& [id, server] : fleet.run.fleet.directory().servers()) {
     if (server.entry.domain != "d3") continue;
-    fleet.run.fleet.set_dark(id, true);
+    fleet.run.fleet.set_isolated(id, true);
     fleet.run.report_suspect(id);
   }
   fleet.run_for(absl::Seconds(60));
