--- a/src/request-routing.cc
+++ b/src/request-routing.cc
@@ -244,7 +244,7 @@
   const absl::Duration max_wait = may_be_granted ? grant_wait : retry_wait;
   const absl::Time until =
       this->node.now() + std::min(max_wait, this->time_left() / 2);
-  while (!endpoint && !this->session.gone && this->node.now() < until) {
+  while (!endpoint && !this->session.disconnected && this->node.now() < until) {
     co_await this->node.sleep(endpoint_poll_interval);
     endpoint = this->pick();
   }
--- a/test/change-relay-test.cc
+++ b/test/change-relay-test.cc
@@ -32,7 +32,7 @@
 class one_loss_link {
  public:
   absl::Duration operator()(const relay_fleet::message& m) {
-    if (m.question || m.in_response || m.to != 1) return link_delay;
+    if (m.is_request || m.in_response || m.to != 1) return link_delay;
     ++this->pushed;
     return this->pushed == lost_index ? relay_fleet::lost : link_delay;
   }
