--- a/include/spokesail/endpoint-speed.h
+++ b/include/spokesail/endpoint-speed.h
@@ -9,7 +9,7 @@
 struct endpoint_speed {
   /// Name of the group, or id of the server.
   std::string endpoint;
-  /// How much longer it takes than others of its kind, failures included; above
+  /// Its response time relative to others of its kind, failures included; above
   /// 1 if slower.
   double slowness = 1;
   /// Number of samples, older ones weighted less.
--- a/include/spokesail/group-controller-options.h
+++ b/include/spokesail/group-controller-options.h
@@ -18,10 +18,10 @@
   absl::Duration formation_slack = absl::Seconds(3);
   /// How long running streams may take to end when a member is about to leave.
   absl::Duration drain_timeout = absl::Milliseconds(1500);
-  /// How long a group with a member that has announced its stop keeps serving
-  /// at most: most of the time for which such a server still serves. Hosts that
-  /// are replaced leave one after the other, and a group that is formed anew
-  /// for each of them hardly serves.
+  /// Maximum time for which a group keeps serving after a member has announced
+  /// its stop: most of the time for which such a server still serves. Hosts
+  /// that are replaced leave one after the other, and a group that was formed
+  /// anew for each of them would hardly serve.
   absl::Duration leaving_member_grace = absl::Milliseconds(1400);
   /// Fraction of a domain's hosts kept as spares for repairs, 0 to 1; the
   /// number of hosts is rounded up. A domain of eight keeps two, one of
@@ -37,8 +37,8 @@
   bool warm_spares = true;
   /// Whether wanted groups of a smaller model may be dissolved for a larger one
   /// that has hardly any left (`may_yield`), and their hosts stage its weights
-  /// for that. Off by default: hosts that hold those weights are missed when
-  /// requests for the smaller model come in bursts.
+  /// for that. Off by default: the smaller model lacks these hosts when its
+  /// requests come in bursts.
   bool smaller_yield = false;
   /// Whether hosts are allocated to models by demand rather than by the
   /// configured shares alone.
--- a/include/spokesail/group-controller.h
+++ b/include/spokesail/group-controller.h
@@ -264,7 +264,8 @@
   std::optional<std::string> reason_to_dissolve(const service_state& s,
                                                 const group_view& group,
                                                 absl::Time now);
-  /// Which member a group has lost or will lose, and how.
+  /// Why a group counts as having lost a member, or as about to lose one;
+  /// nullopt if it does not.
   std::optional<std::string> reason_member_lost(const service_state& s,
                                                 const group_view& group,
                                                 absl::Time now) const;
@@ -275,7 +276,8 @@
   /// Sends the next order needed to dissolve a group.
   void dissolve(const service_state& s, const group_view& group,
                 const std::string& reason, absl::Time now, group_actions& out);
-  /// Dissolves a group, since `since`, through its head, which answers.
+  /// Dissolves a group through its head, which answers. `since` is when this
+  /// began.
   void dissolve_through_head(const service_state& s, const group_view& group,
                              absl::Time since, absl::Time now,
                              group_actions& out);
@@ -405,8 +407,8 @@
   /// Candidate hosts and groups of each domain for a group of `model`.
   std::map<std::string, domain_pool> domain_pools_for(
       const service_state& s, const model_profile& model) const;
-  /// Selects hosts of a domain's pool for one group at the lowest cost; nullopt
-  /// if there are too few.
+  /// Selects the hosts of a domain's pool that form one group at the lowest
+  /// cost; nullopt if there are too few.
   std::optional<move_plan> plan_move(const service_state& s,
                                      const model_profile& model,
                                      const domain_pool& pool,
@@ -471,8 +473,8 @@
   /// Adds the groups that will form once a domain has enough hosts.
   void count_expected_groups(const service_state& s,
                              domain_weights& weights) const;
-  /// Need of a model for one more spare in a domain, `fewer` of its spares left
-  /// out: members whose loss that spare would cover.
+  /// Need of a model for one more spare in a domain if it had `fewer` spares
+  /// less than it has: the members whose loss that spare would cover.
   static double spare_need(const model_profile& model, domain_weights& weights,
                            int fewer);
   /// Has one spare host of a domain load another model's weights if that model
--- a/include/spokesail/group-yield.h
+++ b/include/spokesail/group-yield.h
@@ -17,8 +17,8 @@
 constexpr double scarce_fill_ratio = 0.35;
 
 /// Fraction of its wanted groups that a model keeps when it gives up some for
-/// such a model. Groups of the engines that are served run half of the requests
-/// that they have capacity for.
+/// such a model. Groups in service run half of the requests that they have
+/// capacity for.
 constexpr double donor_min_fill_ratio = 0.65;
 
 /// Whether `donor` may dissolve `count` more of its groups so that `recipient`
--- a/include/spokesail/hall-evacuations.h
+++ b/include/spokesail/hall-evacuations.h
@@ -20,8 +20,8 @@
 
 /// The evacuated data halls. State never returns to an earlier revision. A hall
 /// whose evacuation has ended stays closed until the known state of the servers
-/// is newer than the moment at which this node learned of the end: the servers
-/// may have turned cold just before.
+/// is newer than the time at which this node learned of the end: the servers
+/// may have become cold just before.
 class hall_evacuations {
  public:
   /// Applies a snapshot received at `now`; its age counts back from `as_of`.
--- a/include/spokesail/membership.h
+++ b/include/spokesail/membership.h
@@ -28,8 +28,8 @@
 struct host_observation {
   std::string host;
   bool reachable = false;
-  /// When the probe was sent or, if the host is unreachable, since when it has
-  /// been; on the sender's clock.
+  /// When the probe was sent or, for an unreachable host, when it became
+  /// unreachable; on the sender's clock.
   absl::Time at;
   host_report report;
   bool operator==(const host_observation&) const = default;
--- a/include/spokesail/peer.h
+++ b/include/spokesail/peer.h
@@ -29,7 +29,7 @@
                     const std::vector<object>& objects) = 0;
   virtual void pull(const std::string& address,
                     const std::vector<object_stamp>& known) = 0;
-  /// Replies to the beat event with this token.
+  /// Replies to the heartbeat event with this token.
   virtual void reply_heartbeat(uint64_t token, const heartbeat_ack& ack) = 0;
   /// Replies to the pull event with this token.
   virtual void reply_pull(uint64_t token,
--- a/include/spokesail/relay-choice.h
+++ b/include/spokesail/relay-choice.h
@@ -68,7 +68,7 @@
 /// the first of its own hall. A node whose parent is excluded uses the nearest
 /// ancestor that is not, then the first earlier node that is not, then the
 /// holder. If none is left, it watches the store itself. Among nodes that see
-/// the same peers, at most one of a hall does so, whatever has failed.
+/// the same peers, at most one of a hall does so, whichever others have failed.
 relay_choice choose_relay(const relay_view& view);
 
 }  // namespace spokesail
--- a/include/spokesail/request-admission.h
+++ b/include/spokesail/request-admission.h
@@ -28,7 +28,7 @@
   bool operator==(const admission_limits&) const = default;
 };
 
-/// What a request needs of an engine's groups, and whom it is from.
+/// The needs and the sender of a request for an engine's groups.
 struct admission_request {
   uint64_t id = 0;
   /// The slots that it competes for, named by service and model.
--- a/include/spokesail/speed-table.h
+++ b/include/spokesail/speed-table.h
@@ -61,8 +61,8 @@
   /// Records a response that took `ratio` times as long as expected.
   void add_sample(const endpoint_id& id, double ratio, absl::Time now);
   /// Records a request that either side ended before a response came, after
-  /// `ratio` times the expected time. Has an effect only if that is late: the
-  /// response would have taken even longer.
+  /// `ratio` times the expected time. Counts only if a response was overdue by
+  /// then, since it would have taken even longer.
   void add_unanswered(const endpoint_id& id, double ratio, absl::Time now);
   /// Records a request that the endpoint failed.
   void record_failure(const endpoint_id& id, absl::Time now);
--- a/src/crash-tracker.cc
+++ b/src/crash-tracker.cc
@@ -82,16 +82,16 @@
 
 void crash_tracker::evict_least(uint64_t workspace) {
   const auto first = this->records.lower_bound({workspace, 0});
-  auto least = first;
+  auto evicted = first;
   for (auto at = first;
        at != this->records.end() && at->first.workspace == workspace; ++at) {
     const auto rank = [](const record& r) {
       return std::make_pair(r.evidence.crashes.size(), r.updated_at);
     };
-    if (rank(at->second) < rank(least->second)) least = at;
+    if (rank(at->second) < rank(evicted->second)) evicted = at;
   }
-  this->over_threshold.erase(least->first);
-  this->records.erase(least);
+  this->over_threshold.erase(evicted->first);
+  this->records.erase(evicted);
   this->by_workspace[workspace]--;
 }
 
--- a/src/exchange.h
+++ b/src/exchange.h
@@ -56,7 +56,7 @@
   exchange(const exchange&) = delete;
   exchange& operator=(const exchange&) = delete;
 
-  /// Connects, or takes a kept connection if `reuse` is set. Returns an empty
+  /// Connects, or uses a kept connection if `reuse` is set. Returns an empty
   /// string on success, otherwise the error.
   boost::asio::awaitable<std::string> connect(bool reuse);
 
--- a/src/group-controller.cc
+++ b/src/group-controller.cc
@@ -124,9 +124,9 @@
   }
   track.orders_started.reset();
   if (order.kind == group_order_kind::stage) track.staging_until = now;
-  const bool gone = result == order_result::unreachable ||
-                    result == order_result::other_server;
-  const bool probe_now = result == order_result::unknown || gone;
+  const bool server_missing = result == order_result::unreachable ||
+                              result == order_result::other_server;
+  const bool probe_now = result == order_result::unknown || server_missing;
   track.probe_at =
       now + (probe_now ? absl::ZeroDuration() : refused_probe_delay);
 }
@@ -315,7 +315,7 @@
   if (this->unresponsive_servers().size() <= max_ignored_unresponsive)
     return false;
   // If a data hall is cut off, all of its servers are unresponsive although the
-  // holder is sound, so halls are counted rather than servers.
+  // holder itself is connected, so halls are counted rather than servers.
   std::map<std::string, hall_count> halls;
   for (const auto& [id, track] : this->tracks) {
     const server_entry* entry = directory.find(id);
--- a/src/group-repair.cc
+++ b/src/group-repair.cc
@@ -77,7 +77,7 @@
       plan == this->plans.end() ? group.members : plan->second.members;
   for (const auto& id : members) {
     if (id.empty()) continue;
-    if (!s.has_server(id)) return absl::StrCat(id, " is gone");
+    if (!s.has_server(id)) return absl::StrCat(id, " is no longer listed");
     const server_entry& entry = s.entry(id);
     if (entry.draining && this->may_keep_serving(s, group, id, now)) continue;
     if (entry.draining) return absl::StrCat(id, " is leaving");
--- a/src/group-staging.cc
+++ b/src/group-staging.cc
@@ -10,14 +10,14 @@
 /// A staging order that takes this much longer than a load has failed.
 constexpr absl::Duration stage_slack = absl::Seconds(1);
 
-/// Number of members that a model with a share of 1 counts as in a domain where
-/// it has none, so that a group of it may form there.
+/// Number of members added to those that a model with a share of 1 has in a
+/// domain, so that its group may form where it has none.
 constexpr double absent_model_members = 0.5;
 
 /// Exponent by which the need for each further spare of a model falls. The
-/// first one covers the next loss among the members; each further one only a
-/// loss that comes before hosts are staged again, which is less likely than in
-/// proportion.
+/// first spare covers the next loss among the members. Each further one only
+/// covers a loss before hosts are staged again, whose probability falls faster
+/// than in proportion to the number of spares.
 constexpr double spare_exponent = 1.5;
 
 /// Lower bound of the number of spares used in `weighted_need`, for a group
@@ -46,8 +46,8 @@
 
 /// Need of `members` for one more spare in addition to `spares`.
 double weighted_need(double members, int spares) {
-  const double covered = std::max(min_coverage, 1.0 + spares);
-  return members / std::pow(covered, spare_exponent);
+  const double coverage = std::max(min_coverage, 1.0 + spares);
+  return members / std::pow(coverage, spare_exponent);
 }
 
 }  // namespace
@@ -62,8 +62,8 @@
   std::map<std::string, int> spares;
   /// Free hosts that hold weights, and the model.
   std::map<std::string, std::string> weight_holders;
-  /// Those of them that serve as spares with these very weights. They can
-  /// rejoin without keeping the weights on the host.
+  /// Those of them that serve as spares with the same weights. They can rejoin
+  /// without keeping the weights on the host.
   std::set<std::string> rejoining;
   /// Hosts in wanted groups, and the model whose weights they hold.
   std::map<std::string, std::string> serving_holders;
--- a/src/membership.cc
+++ b/src/membership.cc
@@ -119,9 +119,9 @@
   std::map<std::string, std::vector<std::string>> other_halls;
   for (const auto& [address, hall] : this->addresses) {
     const member* m = this->find_address(address);
-    const bool gone = m && now - m->last_message_at > forget_after &&
-                      m->last_message_at != absl::InfinitePast();
-    if (gone) continue;
+    const bool forgotten = m && now - m->last_message_at > forget_after &&
+                           m->last_message_at != absl::InfinitePast();
+    if (forgotten) continue;
     if (hall == this->self.hall) {
       out.push_back(address);
     } else {
--- a/src/model-shares.cc
+++ b/src/model-shares.cc
@@ -56,11 +56,11 @@
   auto best = left.end();
   for (auto at = left.begin(); at != left.end(); ++at) {
     if (*at < size) continue;
-    const int lost = (*at - size) % smallest - *at % smallest;
-    const int best_lost =
+    const int unusable = (*at - size) % smallest - *at % smallest;
+    const int best_unusable =
         best == left.end() ? 0 : (*best - size) % smallest - *best % smallest;
-    const bool better = best == left.end() || lost < best_lost ||
-                        (lost == best_lost && *at > *best);
+    const bool better = best == left.end() || unusable < best_unusable ||
+                        (unusable == best_unusable && *at > *best);
     if (better) best = at;
   }
   return best;
@@ -137,8 +137,9 @@
   // Without any group, waits are longer than with one.
   const double utilization = groups > 0 ? need / groups : 1 + need;
   if (utilization <= linear_from_utilization) return 1 / (1 - utilization);
-  const double rest = 1 - linear_from_utilization;
-  return 1 / rest + (utilization - linear_from_utilization) / (rest * rest);
+  const double idle_fraction = 1 - linear_from_utilization;
+  return 1 / idle_fraction + (utilization - linear_from_utilization) /
+                                 (idle_fraction * idle_fraction);
 }
 
 bool groups_fit(const engine_profile& engine, const count_by_model& counts,
--- a/src/planner.cc
+++ b/src/planner.cc
@@ -23,8 +23,8 @@
   }
 
  private:
-  void record_change(const group& g, std::string what, std::string why) {
-    this->changes.push_back({g.name, std::move(what), std::move(why)});
+  void record_change(const group& g, std::string change, std::string reason) {
+    this->changes.push_back({g.name, std::move(change), std::move(reason)});
   }
 
   const host_view* find(const std::string& host) const {
--- a/src/request-admission.cc
+++ b/src/request-admission.cc
@@ -36,7 +36,7 @@
 /// do not wait for longer delays.
 constexpr double max_retry_delay_fraction = 1.0 / 3;
 
-/// Tolerance for callers that return earlier than told.
+/// Tolerance for callers that return earlier than they were told to.
 constexpr absl::Duration early_return_tolerance = absl::Milliseconds(20);
 
 /// Maximum number of refused callers that are remembered.
@@ -51,8 +51,8 @@
 /// which are not known either.
 constexpr double unseen_slot_fraction = 0.5;
 
-/// Minimum fraction of a group's prefill capacity that is taken to be left for
-/// working off its queue.
+/// Minimum fraction of a group's prefill capacity that is assumed to be left
+/// for the prompts in its queue.
 constexpr double min_spare_fraction = 0.05;
 
 double millis(absl::Duration time) { return absl::ToDoubleMilliseconds(time); }
@@ -207,15 +207,15 @@
 
 void request_admission::check_early_retry(const admission_request& request,
                                           absl::Time now) {
-  const auto due_back = this->retry_times.find(request.caller);
-  if (due_back == this->retry_times.end()) return;
+  const auto retry_time = this->retry_times.find(request.caller);
+  if (retry_time == this->retry_times.end()) return;
   // A caller that returns early is charged for it in its own turns.
-  if (now + early_return_tolerance < due_back->second) {
+  if (now + early_return_tolerance < retry_time->second) {
     this->pools[request.pool].queue.charge(request.workspace, request.caller,
                                            request.cost_ms);
     return;
   }
-  this->retry_times.erase(due_back);
+  this->retry_times.erase(retry_time);
 }
 
 void request_admission::store_retry_time(const admission_request& request,
@@ -385,8 +385,8 @@
       std::min(absl::Milliseconds(return_interval_ms), max_delay / 2);
   const absl::Time return_at = std::max(now + delay, pool.next_retry_at);
   absl::Duration wait = return_at - now + random.unit() * spacing;
-  // Beyond the largest delay the order cannot be kept, but returning callers
-  // must still not coincide.
+  // If the delay exceeds the maximum, callers cannot return in order, but they
+  // must still not return at the same time.
   if (wait > max_delay) wait = max_delay - random.unit() * spacing;
   pool.next_retry_at = std::min(return_at + spacing, now + max_delay);
   out.action = admission_action::refuse;
--- a/src/request-crash.cc
+++ b/src/request-crash.cc
@@ -16,8 +16,8 @@
 /// under 10 ms between data halls. Attempts on reused connections that fail
 /// sooner than this limit do not count as run: a server that ended for another
 /// reason would otherwise count against each request sent to it before its end
-/// was known. On a day on which all hosts stopped, an innocent request was
-/// quarantined for this reason.
+/// was known. On a day on which all hosts stopped, a request that caused no
+/// crash was quarantined for this reason.
 constexpr absl::Duration dead_connection_limit = absl::Milliseconds(20);
 
 }  // namespace
--- a/src/request-routing.cc
+++ b/src/request-routing.cc
@@ -27,9 +27,9 @@
 /// nodes that see the same load from all choosing the same server.
 constexpr double random_cost_requests = 0.4;
 
-/// How long a request that lost its server waits for another. It is late at
-/// worst, and a group that lost a member is back within about this time.
-/// Callers leave a stream that is silent for two seconds.
+/// How long a request that lost its server waits for another. At worst its
+/// answer is late, and a group that lost a member serves again within about
+/// this time. Callers abandon a stream that is silent for two seconds.
 constexpr absl::Duration retry_wait = absl::Milliseconds(1500);
 
 /// How long a request waits for a grant if all remaining servers need one: a
--- a/src/speed-table.cc
+++ b/src/speed-table.cc
@@ -17,8 +17,8 @@
 
 /// A node reports an endpoint that is at least this slow, given this many
 /// samples. If a peer has reported the endpoint, fewer samples suffice: nodes
-/// that saw nothing unusual would not report on their own, and the slow reports
-/// would pass for the whole picture.
+/// that saw nothing unusual would not report on their own, and the slowness
+/// would be computed from the reports of the affected nodes alone.
 constexpr double report_threshold = 2;
 constexpr int min_samples_to_report = 2;
 constexpr int min_samples_to_confirm = 1;
@@ -31,7 +31,7 @@
 constexpr double tolerated_failures = 0.5;
 
 /// Tolerated excess of an endpoint's failure share over that of the others.
-/// With few samples, a call that fails now and then varies by as much.
+/// With few samples, occasional failures change the share by as much.
 constexpr double tolerated_failure_excess = 0.15;
 
 /// Largest fraction of the endpoints that may be penalized; one of two may be.
--- a/src/staleness.cc
+++ b/src/staleness.cc
@@ -16,9 +16,9 @@
 /// watch; a fixed 1.3 s made each of 295 nodes list and watch it.
 constexpr double relay_stale_share = 0.65;
 
-/// A node whose relay has not been confirmed watches the store once its own
-/// knowledge is this share of that limit old: two relays may fail one after the
-/// other.
+/// A node whose relay has not been confirmed watches the store once the age of
+/// its own knowledge reaches this share of that limit, since two relays may
+/// fail one after the other.
 constexpr double unconfirmed_share = 0.6;
 
 /// Upper bound of either age, as a share of the time after which a revoked key
