--- a/include/spokesail/controller.h
+++ b/include/spokesail/controller.h
@@ -32,7 +32,7 @@
   std::string model;
   std::string version;
   std::vector<std::string> adapters;
-  /// Addresses of all members in order of rank, the leader's first.
+  /// Addresses of all members in order of rank, the head's first.
   std::vector<std::string> members;
   int rank = 0;
   /// The order must not be sent at or after this time.
@@ -75,7 +75,7 @@
 
 /// One candidate's controller of its data hall. It acts only while it holds the
 /// lease. It writes the placement once under its own fencing number before it
-/// relies on it, so that no write of an earlier holder can follow.
+/// relies on it, so that no write of a previous holder can follow.
 class controller {
  public:
   controller() = default;
--- a/include/spokesail/crash-spread.h
+++ b/include/spokesail/crash-spread.h
@@ -19,10 +19,10 @@
 /// after at most 11 rounds, with 51 messages per node; with a fanout of two,
 /// after 18 rounds with 35 messages.
 ///
-/// Requests with a single crash are sent only to a few collectors, which all
-/// nodes choose alike by hashing, so that a collector sees when another node
-/// reports a second crash. This keeps the traffic low when a group crashes:
-/// nearly all of its requests then have a single crash.
+/// Requests with a single crash are sent only to a few collectors. All nodes
+/// choose the same ones by hashing, so that a collector learns of a second
+/// crash that another node reports. This keeps the traffic low when a group
+/// crashes: nearly all of its requests then have a single crash.
 ///
 /// Does no I/O and does not wait.
 class crash_spread {
--- a/include/spokesail/demand-window.h
+++ b/include/spokesail/demand-window.h
@@ -34,8 +34,8 @@
   void count_refusal(const std::string& service, const std::string& model,
                      absl::Time now);
 
-  /// Rates over the last whole seconds of each model ever requested. A model
-  /// without requests is included with zero rates.
+  /// Rates over the last whole seconds of each model that was ever requested. A
+  /// model without requests is included with zero rates.
   std::vector<model_demand> rates(absl::Time now) const;
 
  private:
--- a/include/spokesail/effect.h
+++ b/include/spokesail/effect.h
@@ -1,4 +1,4 @@
-// Effects: what the reducer asks the daemon to do, as data.
+// Effects: the actions that the reducer requests of the daemon, as data.
 #pragma once
 
 #include <string>
--- a/include/spokesail/fleet-size.h
+++ b/include/spokesail/fleet-size.h
@@ -8,9 +8,9 @@
 
 namespace spokesail {
 
-/// Sliding-window maximum of the number of live nodes. A node that is no longer
-/// heard from may be partitioned and still send requests, so the other nodes
-/// must not enlarge their shares of a common limit at once.
+/// Sliding-window maximum of the number of live nodes. A node whose
+/// messages no longer arrive may be partitioned and still send requests, so the
+/// other nodes must not enlarge their shares of a common limit at once.
 class peak_fleet_size {
  public:
   /// Length of the window. Regions may be partitioned for an hour.
--- a/include/spokesail/grant-timing.h
+++ b/include/spokesail/grant-timing.h
@@ -10,7 +10,7 @@
   /// Lifetime of a grant, from the time at which it was requested.
   absl::Duration grant_lifetime = absl::Milliseconds(500);
   /// A new lease holder issues no grants for this long, so that the grants of
-  /// its predecessor have expired. Longer than the lifetime of a grant, to
+  /// the previous holder have expired. Longer than the lifetime of a grant, to
   /// allow for clock drift.
   absl::Duration new_term_delay = absl::Milliseconds(600);
   /// Shortest interval between the grant requests of a node.
--- a/include/spokesail/group-controller-options.h
+++ b/include/spokesail/group-controller-options.h
@@ -56,7 +56,7 @@
   /// that are executed late.
   int load_reserve = 5;
   /// A holder that finds more than this fraction of the servers unresponsive in
-  /// most data halls is itself disconnected and gives up its lease.
+  /// most data halls is itself isolated and gives up its lease.
   double isolation_threshold = 0.3;
   bool operator==(const group_controller_options&) const = default;
 };
--- a/include/spokesail/group-controller.h
+++ b/include/spokesail/group-controller.h
@@ -61,7 +61,7 @@
 
 /// Loads from the weight store that previous lease holders started.
 struct earlier_loads {
-  /// Loads in the window before `as_of`, as the last holder reported them.
+  /// Loads in the window before `as_of`, as the previous holder reported them.
   int count = 0;
   /// A lower bound of the time at which that was reported; infinite past if
   /// this node never received a report.
@@ -224,7 +224,7 @@
   /// yet, its count of orders is unknown, or too many orders are pending.
   bool send(const server_entry& entry, group_order order, group_actions& out);
   /// Whether so many servers are unresponsive that this holder itself is
-  /// probably disconnected from the network.
+  /// probably isolated from the network.
   bool is_isolated(const server_directory& directory) const;
   /// Whether the server answers and has not announced its stop.
   bool usable(const server_entry& entry) const;
--- a/include/spokesail/model-shares.h
+++ b/include/spokesail/model-shares.h
@@ -54,7 +54,7 @@
 /// Thresholds for a change of the allocation.
 struct reallocation_rules {
   /// Minimum gain of a change over the observed time, as a fraction of the
-  /// cost. Callers hardly notice less.
+  /// cost. Callers hardly notice a smaller one.
   double min_gain = 0.1;
   /// Minimum gain in each single second, as a fraction of the minimum gain.
   /// Before a burst there are seconds in which its change would have been a
--- a/include/spokesail/relay-choice.h
+++ b/include/spokesail/relay-choice.h
@@ -26,7 +26,7 @@
   std::string holder;
   /// Whether the holder is in the node's own data hall.
   bool holder_in_hall = false;
-  /// Nodes that did not answer, or were too stale, a short time ago.
+  /// Nodes that recently did not answer or were too stale.
   std::set<std::string> excluded;
   bool operator==(const relay_view&) const = default;
 };
--- a/include/spokesail/server-directory.h
+++ b/include/spokesail/server-directory.h
@@ -19,7 +19,7 @@
   server_entry entry;
   /// Revision of its last change.
   int64_t revision = 0;
-  /// Until when it counts as live although the store has lost its entry;
+  /// Until when it counts as live although its entry is missing in the store;
   /// infinite past while the entry exists.
   absl::Time expires_at = absl::InfinitePast();
   /// Until when it is slow after its start, according to its latest entry.
@@ -73,7 +73,7 @@
   /// live until then.
   bool remove(const std::string& id, int64_t revision, absl::Time keep_until);
 
-  /// Removes servers whose entries are lost and have expired. The directory
+  /// Removes servers whose entries are missing and have expired. The directory
   /// must be current as of a time after the expiry, which `known_at` gives: the
   /// entry may have returned without this node's knowledge. Returns whether any
   /// was removed.
--- a/include/spokesail/server-entry.h
+++ b/include/spokesail/server-entry.h
@@ -20,8 +20,8 @@
   std::string group;
   /// Grows with each new list of members.
   int64_t epoch = 0;
-  /// Position in the list of members; 0 leads the group and receives its
-  /// requests.
+  /// Position in the list of members; 0 is the head, which receives the
+  /// group's requests.
   int rank = 0;
   member_phase phase = member_phase::none;
   bool operator==(const group_membership&) const = default;
--- a/src/crash-check.cc
+++ b/src/crash-check.cc
@@ -35,7 +35,7 @@
       node.adapter.write_report_request(endpoint.server);
   fetch_result result =
       co_await node.fetcher.fetch(endpoint.address, request, probe_timeout);
-  // Retries once, since the server may just have closed a pooled connection.
+  // Retries once, since the server may just have closed a kept connection.
   if (result.status == fetch_status::no_response) {
     result =
         co_await node.fetcher.fetch(endpoint.address, request, probe_timeout);
--- a/src/group-controller.cc
+++ b/src/group-controller.cc
@@ -19,7 +19,7 @@
 constexpr absl::Duration busy_probe_delay = absl::Seconds(2);
 
 /// Up to this number of unresponsive servers does not show that the holder
-/// itself is disconnected, however small the fleet is.
+/// itself is isolated, however small the fleet is.
 constexpr size_t max_ignored_unresponsive = 2;
 
 /// Period of the summary of models; short enough to see in a log why a group
@@ -256,7 +256,8 @@
       out.report_requests.push_back(id);
     }
   };
-  // Servers in doubt are probed before those that were never probed.
+  // Servers whose state is uncertain are probed before those that were never
+  // probed.
   probe_where([&](const server_track& t) { return now >= t.probe_at; });
   probe_where([&](const server_track& t) {
     return !t.orders_started && !t.pending &&
@@ -314,8 +315,8 @@
 bool group_controller::is_isolated(const server_directory& directory) const {
   if (this->unresponsive_servers().size() <= max_ignored_unresponsive)
     return false;
-  // If a data hall is cut off, all of its servers are unresponsive although the
-  // holder itself is connected, so halls are counted rather than servers.
+  // If a data hall is isolated, all of its servers are unresponsive although
+  // the holder itself is not, so halls are counted rather than servers.
   std::map<std::string, hall_count> halls;
   for (const auto& [id, track] : this->tracks) {
     const server_entry* entry = directory.find(id);
--- a/src/group-formation.cc
+++ b/src/group-formation.cc
@@ -159,7 +159,7 @@
     const service_state& s, const std::set<std::string>& skipped,
     bool requests_seen) const {
   // Before the first request the largest groups go first, since they fit into
-  // the fewest places; later the model with the lowest fill ratio goes first.
+  // the fewest domains; later the model with the lowest fill ratio goes first.
   const model_profile* next = nullptr;
   double lowest = 1;
   for (const auto& model : s.engine->models) {
--- a/src/group-staging.cc
+++ b/src/group-staging.cc
@@ -31,7 +31,7 @@
 /// Hosts of a domain that hold a larger model's weights in addition to that
 /// model's groups, as a fraction of the size of one of its groups. A failure
 /// takes one or two hosts out of a group, and the next one may come before a
-/// load, 12 to 16 s, ends. After a restart such hosts do not have the weights
+/// load of 12 to 16 s ends. After a restart such hosts do not have the weights
 /// of the model that they served: when all hosts held the larger model's
 /// weights, smaller groups were missing after a release instead.
 constexpr double yield_spare_ratio = 0.5;
--- a/src/lease-manager.cc
+++ b/src/lease-manager.cc
@@ -26,7 +26,7 @@
 constexpr absl::Duration initial_backoff = absl::Milliseconds(100);
 constexpr absl::Duration max_backoff = absl::Milliseconds(800);
 
-/// A holder that found itself cut off from the servers leaves the lease to
+/// A holder that found itself isolated from the servers leaves the lease to
 /// other nodes for this long.
 constexpr absl::Duration step_down_time = absl::Seconds(5);
 
--- a/src/request-admission.cc
+++ b/src/request-admission.cc
@@ -275,8 +275,8 @@
   const double option_fraction =
       static_cast<double>(view.options.size()) /
       static_cast<double>(std::max<size_t>(view.groups, 1));
-  // If slots are so scarce that this node has just missed one, the other nodes
-  // have requests waiting too.
+  // If this node has just failed to draw a slot, slots are so scarce that the
+  // other nodes have requests waiting too.
   const bool missed = now - pool.next_draw_at < view.load_age;
   const double own_draws =
       pool.draw_rate.at(now) * absl::ToDoubleSeconds(view.load_age);
--- a/src/request-admit.cc
+++ b/src/request-admit.cc
@@ -13,7 +13,7 @@
 
 namespace net = boost::asio;
 
-/// Interval at which a waiting request asks for its turn.
+/// Interval at which admission decides again on a waiting request.
 constexpr absl::Duration admission_poll_interval = absl::Milliseconds(5);
 
 /// Largest age of what a node knows of its data hall's requests: the interval
--- a/src/request-crash.cc
+++ b/src/request-crash.cc
@@ -12,7 +12,7 @@
 namespace net = boost::asio;
 namespace http = boost::beast::http;
 
-/// A kept connection to a server that is gone is reset within a round trip,
+/// A kept connection to a server that has stopped is reset within a round trip,
 /// under 10 ms between data halls. Attempts on reused connections that fail
 /// sooner than this limit do not count as run: a server that ended for another
 /// reason would otherwise count against each request sent to it before its end
--- a/src/request-handler.cc
+++ b/src/request-handler.cc
@@ -117,7 +117,7 @@
   if (!this->quarantined()) return std::nullopt;
   // A quarantined request crashes each server that runs it, and all requests
   // running beside it are lost. The refusal says that the request has not run,
-  // which is true of this attempt, and asks the caller to stay away until the
+  // which is true of this attempt, and its retry delay lasts until the
   // quarantine ends.
   return refusal{
       503, "servers crashed under it",
@@ -145,7 +145,7 @@
 
 request_handler::refusal request_handler::unknown_refusal(
     unsigned status, const char* reason) const {
-  // It may have been added since; a node with a newer configuration can tell.
+  // It may have been added since; a node with a newer configuration knows it.
   if (!this->node.config_fresh()) {
     return {503, "configuration is old", no_config_retry_delay};
   }
--- a/src/staleness.cc
+++ b/src/staleness.cc
@@ -8,12 +8,13 @@
 namespace {
 
 /// A relay whose own knowledge is older than this share of the time in which a
-/// configuration has to be in force is cut off itself: the rest is needed to
-/// read the store instead. The holder's watch confirms the configuration every
-/// 0.4 s, each relay on the way adds one request period, and a relay whose
-/// holder dies needs two more periods before it watches the store itself. With
-/// a limit of 4 s, a store whose watches hang for a second makes no other node
-/// watch; a fixed 1.3 s made each of 295 nodes list and watch it.
+/// configuration has to be in force is isolated itself. The rest of that time
+/// is needed to read the store instead. The holder's watch confirms the
+/// configuration every 0.4 s, each relay on the way adds one request period,
+/// and a relay whose holder fails needs two more periods before it watches the
+/// store itself. With a limit of 4 s, a store whose watches hang for a second
+/// makes no other node watch; a fixed 1.3 s made each of 295 nodes list and
+/// watch it.
 constexpr double relay_stale_share = 0.65;
 
 /// A node whose relay has not been confirmed watches the store once the age of
