--- a/include/spokesail/placement.h
+++ b/include/spokesail/placement.h
@@ -38,7 +38,7 @@
 /// The planned state of a group. Only a serving group may take requests.
 enum class group_phase { loading, serving, draining };
 
-/// One replica of a model over its hosts; the first host leads.
+/// One replica of a model over its hosts; the first host is the head.
 struct group {
   std::string name;
   /// Increases whenever the group's hosts change.
--- a/src/planner.cc
+++ b/src/planner.cc
@@ -76,12 +76,11 @@
     if (it == this->in.draining_since.end()) return false;
     const absl::Time settled = it->second + this->in.drain_settle;
     if (this->in.now < settled) return false;
-    const host_view* leader = this->find(g.hosts.front());
-    if (!leader) return true;
-    if (!leader->report) return this->permanently_lost(g.hosts.front());
-    const bool load_is_recent = leader->load_at >= settled;
-    return load_is_recent && leader->load.running == 0 &&
-           leader->load.queued == 0;
+    const host_view* head = this->find(g.hosts.front());
+    if (!head) return true;
+    if (!head->report) return this->permanently_lost(g.hosts.front());
+    const bool load_is_recent = head->load_at >= settled;
+    return load_is_recent && head->load.running == 0 && head->load.queued == 0;
   }
 
   bool wanted(const group& g) const {
@@ -256,8 +255,8 @@
       }
     }
     for (const auto& g : this->next.groups) {
-      const host_view* leader = this->find(g.hosts.front());
-      if (!leader || leader->info.domain != domain) continue;
+      const host_view* head = this->find(g.hosts.front());
+      if (!head || head->info.domain != domain) continue;
       const int size = static_cast<int>(g.hosts.size());
       supply.largest_group = std::max(supply.largest_group, size);
     }
