--- a/src/group-staging.cc
+++ b/src/group-staging.cc
@@ -20,8 +20,8 @@
 /// than in proportion to the number of spares.
 constexpr double spare_exponent = 1.5;
 
-/// Lower bound of the number of spares used in `weighted_need`, for a group
-/// that lacks hosts to form.
+/// Lower bound of the number of spares, the next one included, by which
+/// `weighted_need` divides. It applies where a group lacks hosts to form.
 constexpr double min_coverage = 0.1;
 
 /// A spare changes its weights only for a model whose need is this many times
--- a/src/group-state.h
+++ b/src/group-state.h
@@ -20,7 +20,8 @@
   const engine_profile* engine = nullptr;
   /// With acknowledged orders taken as executed.
   std::map<std::string, listed_server> servers;
-  /// Servers that answer and stay, by fabric domain.
+  /// Number of servers that answer and have not announced their stop, by fabric
+  /// domain.
   std::map<std::string, int> usable_hosts;
   std::vector<group_view> groups;
   /// Existing and forming groups, by model.
@@ -35,7 +36,7 @@
     const listed_server* listed = nullptr;
     const server_track* track = nullptr;
   };
-  /// The same servers by hash: a step looks most of them up some ten times.
+  /// The same servers by hash: a step looks up most of them about ten times.
   absl::flat_hash_map<std::string_view, known_server> index;
 
   const server_entry& entry(const std::string& id) const {
