--- a/include/spokesail/congestion-window.h
+++ b/include/spokesail/congestion-window.h
@@ -32,9 +32,9 @@
 /// each window of answers, and by one for each answer until it first shrinks. A
 /// call without an answer halves it only if the node's own loop was delayed. A
 /// node with more outstanding calls than it can read answers to wrongly finds
-/// servers unresponsive: with 931 calls outstanding at once, a holder
-/// on an eighth of a core finds up to half of its servers unresponsive. Servers
-/// that are down do not indicate load of the node itself: when a tenth of them
+/// servers unresponsive: with 931 calls outstanding at once, a holder on an
+/// eighth of a core finds up to half of its servers unresponsive. Servers that
+/// are down do not indicate load of the node itself: when a tenth of them
 /// failed and halved the window, repairs were delayed by 1.4 s.
 class congestion_window {
  public:
--- a/include/spokesail/group-controller.h
+++ b/include/spokesail/group-controller.h
@@ -473,8 +473,8 @@
   /// Adds the groups that will form once a domain has enough hosts.
   void count_expected_groups(const service_state& s,
                              domain_weights& weights) const;
-  /// Need of a model for one more spare in a domain if it had `fewer` spares
-  /// less than it has: the members whose loss that spare would cover.
+  /// Need of a model for one more spare in a domain, not counting
+  /// `fewer` of its spares: the members whose loss that spare would cover.
   static double spare_need(const model_profile& model, domain_weights& weights,
                            int fewer);
   /// Has one spare host of a domain load another model's weights if that model
--- a/include/spokesail/request-admission.h
+++ b/include/spokesail/request-admission.h
@@ -28,7 +28,7 @@
   bool operator==(const admission_limits&) const = default;
 };
 
-/// The needs and the sender of a request for an engine's groups.
+/// A request for an engine's groups: its needs and its sender.
 struct admission_request {
   uint64_t id = 0;
   /// The slots that it competes for, named by service and model.
--- a/src/group-state.h
+++ b/src/group-state.h
@@ -20,8 +20,8 @@
   const engine_profile* engine = nullptr;
   /// With acknowledged orders taken as executed.
   std::map<std::string, listed_server> servers;
-  /// Number of servers that answer and have not announced their stop, by fabric
-  /// domain.
+  /// Number of servers that answer, have not announced their stop and are in no
+  /// closed data hall, by fabric domain.
   std::map<std::string, int> usable_hosts;
   std::vector<group_view> groups;
   /// Existing and forming groups, by model.
