--- a/include/spokesail/relay-choice.h
+++ b/include/spokesail/relay-choice.h
@@ -26,7 +26,7 @@
   std::string holder;
   /// Whether the holder is in the node's own data hall.
   bool holder_in_hall = false;
-  /// Nodes that did not answer, or were too stale, a short time ago.
+  /// Nodes that recently did not answer or were too stale.
   std::set<std::string> excluded;
   bool operator==(const relay_view&) const = default;
 };
@@ -68,7 +68,7 @@
 /// the first of its own hall. A node whose parent is excluded uses the nearest
 /// ancestor that is not, then the first earlier node that is not, then the
 /// holder. If none is left, it watches the store itself. Among nodes that see
-/// the same peers, at most one of a hall does so, whatever has failed.
+/// the same peers, at most one of a hall does so, whichever others have failed.
 relay_choice choose_relay(const relay_view& view);
 
 }  // namespace spokesail
