--- a/src/model-shares.cc
+++ b/src/model-shares.cc
@@ -51,16 +51,17 @@
 
 /// The domain where a group of `size` leaves the fewest hosts that the smallest
 /// groups cannot use; of equal ones, the one with the most hosts.
-std::vector<int>::iterator best_domain(std::vector<int>& left, int size,
+std::vector<int>::iterator best_domain(std::vector<int>& free_hosts, int size,
                                        int smallest) {
-  auto best = left.end();
-  for (auto at = left.begin(); at != left.end(); ++at) {
+  auto best = free_hosts.end();
+  for (auto at = free_hosts.begin(); at != free_hosts.end(); ++at) {
     if (*at < size) continue;
-    const int lost = (*at - size) % smallest - *at % smallest;
-    const int best_lost =
-        best == left.end() ? 0 : (*best - size) % smallest - *best % smallest;
-    const bool better = best == left.end() || lost < best_lost ||
-                        (lost == best_lost && *at > *best);
+    const int unusable = (*at - size) % smallest - *at % smallest;
+    const int best_unusable =
+        best == free_hosts.end() ? 0
+                                 : (*best - size) % smallest - *best % smallest;
+    const bool better = best == free_hosts.end() || unusable < best_unusable ||
+                        (unusable == best_unusable && *at > *best);
     if (better) best = at;
   }
   return best;
@@ -103,16 +104,16 @@
 double moved_fraction(const engine_profile& engine, const count_by_model& from,
                       const count_by_model& to) {
   double moved = 0;
-  double all = 0;
+  double total = 0;
   for (const auto& model : engine.models) {
     const auto before = from.find(model.name);
     if (before == from.end()) continue;
     const auto after = to.find(model.name);
-    const int left = after == to.end() ? 0 : after->second;
-    moved += model.group_size * std::max(0, before->second - left);
-    all += model.group_size * before->second;
+    const int kept_groups = after == to.end() ? 0 : after->second;
+    moved += model.group_size * std::max(0, before->second - kept_groups);
+    total += model.group_size * before->second;
   }
-  return all > 0 ? moved / all : 0;
+  return total > 0 ? moved / total : 0;
 }
 
 }  // namespace
--- a/src/node-control.cc
+++ b/src/node-control.cc
@@ -15,9 +15,9 @@
     host.info = info;
     host.report = this->s.presence.present(name, this->now,
                                            this->s.options.presence_window);
-    if (const auto seen = this->s.presence.latest(name)) {
-      host.load = seen->load;
-      host.load_at = seen->at;
+    if (const auto observed = this->s.presence.latest(name)) {
+      host.load = observed->load;
+      host.load_at = observed->at;
     }
     const auto lost = this->s.lost_since.find(name);
     if (lost != this->s.lost_since.end()) host.lost_since = lost->second;
--- a/src/node-gossip.cc
+++ b/src/node-gossip.cc
@@ -61,10 +61,11 @@
 }
 
 void node_gossip::apply_holder_state(const holder_state& state) {
-  const auto& known = this->node.last_holder_state;
-  if (known && !(state == *known) && !state.newer_than(*known)) return;
+  const auto& last_state = this->node.last_holder_state;
+  if (last_state && !(state == *last_state) && !state.newer_than(*last_state))
+    return;
   this->node.holder_heard_at = this->node.now();
-  if (known && state == *known) return;
+  if (last_state && state == *last_state) return;
   this->node.last_holder_state = state;
   this->node.unresponsive_servers = {state.unresponsive.begin(),
                                      state.unresponsive.end()};
--- a/src/node-status.cc
+++ b/src/node-status.cc
@@ -59,10 +59,11 @@
     for (const auto& host : g.hosts) {
       const auto report = this->s.presence.present(
           host, this->now, this->s.options.presence_window);
-      const bool here = report && report->group == g.name &&
-                        report->incarnation == g.incarnation;
+      const bool is_member = report && report->group == g.name &&
+                             report->incarnation == g.incarnation;
       std::string state = "absent";
-      if (report) state = here ? host_phase_name(report->phase) : "elsewhere";
+      if (report)
+        state = is_member ? host_phase_name(report->phase) : "elsewhere";
       one["hosts"].push_back({{"name", host}, {"state", state}});
     }
     out["groups"].push_back(std::move(one));
--- a/src/remote-gossip.cc
+++ b/src/remote-gossip.cc
@@ -154,24 +154,24 @@
 
 std::vector<std::string> remote_gossip::lease_candidates(absl::Time now) const {
   const bool mesh = this->meshed();
-  std::vector<relay_candidate> all = this->link.live_local_peers();
-  all.push_back({this->node.settings.node, this->node.settings.cores});
+  std::vector<relay_candidate> candidates = this->link.live_local_peers();
+  candidates.push_back({this->node.settings.node, this->node.settings.cores});
   if (!mesh) {
-    const auto contacts = top_ranked(relay_order(all));
-    std::erase_if(all, [&](const relay_candidate& c) {
+    const auto contacts = top_ranked(relay_order(candidates));
+    std::erase_if(candidates, [&](const relay_candidate& c) {
       return std::find(contacts.begin(), contacts.end(), c.name) ==
              contacts.end();
     });
   }
-  for (const auto& [hall, known] : this->link.remote_hall_peers()) {
-    const auto contacts = this->top_ranked_of(hall, known, now);
-    for (const auto& node_of_hall : known) {
-      const bool first = std::find(contacts.begin(), contacts.end(),
-                                   node_of_hall.name) != contacts.end();
-      if (first || mesh) all.push_back(node_of_hall);
+  for (const auto& [hall, peers] : this->link.remote_hall_peers()) {
+    const auto contacts = this->top_ranked_of(hall, peers, now);
+    for (const auto& node_of_hall : peers) {
+      const bool is_contact = std::find(contacts.begin(), contacts.end(),
+                                        node_of_hall.name) != contacts.end();
+      if (is_contact || mesh) candidates.push_back(node_of_hall);
     }
   }
-  return relay_order(std::move(all));
+  return relay_order(std::move(candidates));
 }
 
 }  // namespace spokesail
--- a/src/routing.cc
+++ b/src/routing.cc
@@ -30,8 +30,8 @@
   for (const auto& name : ranked) {
     const auto it = std::find(names.begin(), names.end(), name);
     const auto i = static_cast<size_t>(it - names.begin());
-    const double one = 1.0 / std::max(options[i].capacity, 1);
-    const bool near_mean = utilization(options[i]) <= bound + one;
+    const double request_share = 1.0 / std::max(options[i].capacity, 1);
+    const bool near_mean = utilization(options[i]) <= bound + request_share;
     if (near_mean && has_room(options[i])) return i;
   }
   return std::nullopt;
--- a/src/speed-table.cc
+++ b/src/speed-table.cc
@@ -52,12 +52,12 @@
 /// The lower weighted median; the values are (value, weight).
 double median_of(std::vector<std::pair<double, double>> values) {
   std::sort(values.begin(), values.end());
-  double all = 0;
-  for (const auto& [value, weight] : values) all += weight;
+  double total = 0;
+  for (const auto& [value, weight] : values) total += weight;
   double sum = 0;
   for (const auto& [value, weight] : values) {
     sum += weight;
-    if (2 * sum >= all) return value;
+    if (2 * sum >= total) return value;
   }
   return values.empty() ? 1 : values.back().first;
 }
--- a/src/staleness.cc
+++ b/src/staleness.cc
@@ -7,30 +7,30 @@
 namespace spokesail {
 namespace {
 
-/// Age from which a relay's configuration counts as stale, as a share of the
-/// time in which a configuration has to be in force. The rest of that time is
-/// needed to read the store instead. The holder's watch confirms the
+/// Age from which a relay's data counts as stale, as a share of a time limit,
+/// such as that in which a configuration has to be in force. The rest of the
+/// time is needed to read the store instead. The holder's watch confirms the
 /// configuration every 0.4 s, each relay on the way adds one request period,
-/// and a relay whose holder dies needs two more periods before it watches the
+/// and a relay whose holder fails needs two more periods before it watches the
 /// store itself. With a limit of 4 s, a store whose watches hang for a second
 /// makes no other node watch; a fixed 1.3 s made each of 295 nodes list and
 /// watch it.
 constexpr double relay_stale_share = 0.65;
 
-/// Age from which a node whose relay has not been confirmed watches the store,
-/// as a share of the age at which a relay counts as stale: two relays may fail
-/// one after the other.
+/// Age of the configuration from which a node whose relay has not been
+/// confirmed watches the store, as a share of the same limit. Lower than that
+/// of relays, since two relays may fail one after the other.
 constexpr double unconfirmed_share = 0.6;
 
 /// Upper bound of either age, as a share of the time after which a revoked key
 /// must not be accepted: a node with a stale configuration refuses all keys.
 constexpr double max_revoke_share = 0.5;
 
-/// Ages from which the list of servers counts as stale, of a relay and of this
-/// node, as shares of the time for which a leaving server still serves. A relay
-/// may answer and still not deliver these changes. Nodes that others use as a
-/// relay read the store first, so that one node of a hall does so and not all
-/// of its followers.
+/// Age of the list of servers from which a node watches the store, as a share
+/// of the time for which a leaving server still serves, for nodes that may have
+/// followers and for other nodes. A relay may answer and still not deliver
+/// changes of servers. Nodes that others use as a relay watch the store first,
+/// so that one node of a hall does so and not all of its followers.
 constexpr double relay_servers_share = 0.5;
 constexpr double servers_share = 0.6;
 
--- a/src/store-relay.cc
+++ b/src/store-relay.cc
@@ -58,9 +58,9 @@
   out.hall_peers = this->link.live_local_peers();
   const std::string holder_name = this->holder();
   const std::string holder_hall = this->link.hall_of(holder_name);
-  const bool own = holder_name == out.self.name;
-  if (own || !holder_hall.empty()) out.holder = holder_name;
-  out.holder_in_hall = own || holder_hall == this->node.settings.hall;
+  const bool is_holder = holder_name == out.self.name;
+  if (is_holder || !holder_hall.empty()) out.holder = holder_name;
+  out.holder_in_hall = is_holder || holder_hall == this->node.settings.hall;
   for (const auto& [name, until] : this->excluded_until) {
     if (this->node.now() < until) out.excluded.insert(name);
   }
@@ -128,13 +128,14 @@
   this->fill_update(out);
   auto changes =
       server_changes_since(this->node.directory, from, this->node.now());
-  const int64_t to = this->node.directory.revision();
-  for (auto& batch : split_server_changes(std::move(changes),
-                                          max_changes_per_message, from, to)) {
+  const int64_t last_revision = this->node.directory.revision();
+  for (auto& batch : split_server_changes(
+           std::move(changes), max_changes_per_message, from, last_revision)) {
     out.from_revision = batch.from_revision;
     out.to_revision = batch.to_revision;
     out.servers = std::move(batch.servers);
-    out.all_servers = this->node.directory_listed && batch.to_revision == to;
+    out.all_servers =
+        this->node.directory_listed && batch.to_revision == last_revision;
     this->link.send(peer, out);
     this->sender.on_sent(peer, out.from_revision, out.to_revision,
                          out.config_revision, this->node.now());
@@ -219,8 +220,8 @@
 void store_relay::apply_servers(const std::string& peer,
                                 const store_update& update) {
   // Changes can be applied only by a node that has all earlier ones.
-  const int64_t known = this->node.directory.revision();
-  if (!this->receiver.on_message(update.from_revision, known)) {
+  const int64_t known_revision = this->node.directory.revision();
+  if (!this->receiver.on_message(update.from_revision, known_revision)) {
     this->report_gap(peer, update);
     this->request_missing();
     return;
@@ -281,9 +282,9 @@
 }
 
 void store_relay::send_request() {
-  const int64_t known = this->node.directory.revision();
+  const int64_t known_revision = this->node.directory.revision();
   const store_update_request request{this->nonce,
-                                     this->receiver.position(known)};
+                                     this->receiver.position(known_revision)};
   this->link.send(this->relay, request);
 }
 
@@ -291,8 +292,9 @@
   const bool no_relay =
       this->relay.empty() || this->relay == this->node.settings.node;
   if (no_relay) return;
-  const int64_t known = this->node.directory.revision();
-  if (!this->receiver.request_out_of_turn(known, this->node.now())) return;
+  const int64_t known_revision = this->node.directory.revision();
+  if (!this->receiver.request_out_of_turn(known_revision, this->node.now()))
+    return;
   this->node.metrics.count_update_event("asked_at_once");
   // This reuses the nonce of the last regular request, so that the response to
   // that one, which may be in transit, still counts. Ages then count
