--- a/src/call.h
+++ b/src/call.h
@@ -59,7 +59,7 @@
   /// current or the event is out of order.
   bool append_event(const std::string& attempt, const std::string& data);
 
-  /// Whether the model's answer has reached its end mark, or is no stream.
+  /// Whether the model's answer has reached its end mark or is not a stream.
   bool complete(const std::string& attempt) const;
 
   /// Ends the request.
--- a/src/planner.cc
+++ b/src/planner.cc
@@ -284,8 +284,9 @@
     return {sizes.begin(), sizes.end()};
   }
 
-  /// Hosts for a new replica: within one domain, or across several if the model
-  /// allows it and no domain has enough. Empty if there are too few.
+  /// Chooses the hosts of a new replica: within one domain, or across several
+  /// if the model allows it and no domain has enough. Empty if there are too
+  /// few.
   std::vector<std::string> choose_hosts(const model_config& model) const {
     const auto need = static_cast<size_t>(model.hosts_per_replica);
     std::vector<domain_supply> fitting;
--- a/src/store-relay.cc
+++ b/src/store-relay.cc
@@ -296,9 +296,9 @@
   if (!this->receiver.request_out_of_turn(known_revision, this->node.now()))
     return;
   this->node.metrics.count_update_event("asked_at_once");
-  // This reuses the nonce of the last regular request, so that the response to
-  // that one, which may be in transit, still counts. Ages then count
-  // from the earlier request, so no data appears fresher than it is.
+  // Reuses the nonce of the last regular request, so that the response to that
+  // one, which may be in transit, still counts. Ages then count from the
+  // earlier request, so no data appears fresher than it is.
   this->send_request();
 }
 
--- a/src/view.cc
+++ b/src/view.cc
@@ -35,7 +35,7 @@
     if (names.count(key.name) != 0 || known.version >= version) continue;
     gone.push_back({key, version, {}, true});
   }
-  for (const auto& mark : gone) this->merge(mark);
+  for (const auto& tombstone : gone) this->merge(tombstone);
   return gone;
 }
 
--- a/test/relay-fleet.h
+++ b/test/relay-fleet.h
@@ -54,7 +54,7 @@
     }
   }
 
-  /// Makes the first node learn of a change.
+  /// Makes a change, which the first node receives at once.
   void change() {
     const int64_t revision = ++this->last_revision;
     listed_server server;
