--- a/src/node-message.cc
+++ b/src/node-message.cc
@@ -37,12 +37,11 @@
 }
 
 template <typename List>
-void write_places(List out, const std::vector<endpoint_load>& places) {
-  for (size_t i = 0; i < places.size(); ++i) {
-    out[i].setName(places[i].endpoint);
-    out[i].setRunning(places[i].running);
-    out[i].setUnreadTokens(
-        static_cast<float>(places[i].pending_prefill_tokens));
+void write_places(List out, const std::vector<endpoint_load>& loads) {
+  for (size_t i = 0; i < loads.size(); ++i) {
+    out[i].setName(loads[i].endpoint);
+    out[i].setRunning(loads[i].running);
+    out[i].setUnreadTokens(static_cast<float>(loads[i].pending_prefill_tokens));
   }
 }
 
--- a/src/remote-gossip.cc
+++ b/src/remote-gossip.cc
@@ -135,11 +135,11 @@
                      });
 }
 
-void remote_gossip::apply_relayed(const std::vector<endpoint_load>& places,
+void remote_gossip::apply_relayed(const std::vector<endpoint_load>& loads,
                                   int nodes, absl::Time now) {
   if (this->meshed() || this->heard_directly(now)) return;
   this->relayed_nodes = nodes;
-  this->node.loads.update_peer(relayed_peer, places, now, true);
+  this->node.loads.update_peer(relayed_peer, loads, now, true);
 }
 
 int remote_gossip::nodes(absl::Time now) const {
--- a/src/remote-gossip.h
+++ b/src/remote-gossip.h
@@ -30,7 +30,7 @@
                      absl::Time now);
 
   /// Handles the loads of remote halls that a relay forwarded.
-  void apply_relayed(const std::vector<endpoint_load>& places, int nodes,
+  void apply_relayed(const std::vector<endpoint_load>& loads, int nodes,
                      absl::Time now);
 
   /// Number of live nodes in remote halls, as far as this node knows.
--- a/test/request-admission-test.cc
+++ b/test/request-admission-test.cc
@@ -72,10 +72,11 @@
   }
 
   /// Creates groups with equal load.
-  void fill(size_t groups, int running, double unread = 0) {
+  void fill(size_t groups, int running, double pending_prefill = 0) {
     this->options.clear();
     for (size_t i = 0; i < groups; ++i) {
-      this->options.push_back({absl::StrCat("g", i), running, unread, 1, 0});
+      this->options.push_back(
+          {absl::StrCat("g", i), running, pending_prefill, 1, 0});
     }
   }
 
@@ -439,11 +440,11 @@
   for (absl::Time now = start; now < start + absl::Seconds(6); now += 5 * ms) {
     std::erase_if(all, [&](const auto& s) { return now - s.at > hold_time; });
     std::vector<int> reported(groups);
-    std::vector<double> unread(groups);
+    std::vector<double> pending_prefill(groups);
     for (const auto& s : all) {
       if (now - s.at < load_age) continue;
       reported[s.group]++;
-      if (now - s.at < 120 * ms) unread[s.group] += 714;
+      if (now - s.at < 120 * ms) pending_prefill[s.group] += 714;
     }
     for (size_t n = 0; n < count; ++n) {
       auto& node = fleet.nodes[n];
@@ -451,7 +452,7 @@
       node.fill(groups, 0);
       for (size_t g = 0; g < groups; ++g) {
         node.options[g].running = reported[g];
-        node.options[g].pending_prefill_tokens = unread[g];
+        node.options[g].pending_prefill_tokens = pending_prefill[g];
       }
       if (random.unit() < per_s / count * 0.005) {
         const auto request = node.make_request();
