--- a/src/requests.cc
+++ b/src/requests.cc
@@ -287,8 +287,8 @@
   if (it == this->requests.end()) return;
   if (!it->second.attempt.empty()) out.cancels.push_back(it->second.attempt);
   this->finish(request,
-               {outcome_kind::failed, 499, "caller_gone",
-                "the caller disconnected", absl::ZeroDuration()},
+               {outcome_kind::failed, 499, "caller_gone", "the caller hung up",
+                absl::ZeroDuration()},
                out);
 }
 
