--- a/src/controller.cc
+++ b/src/controller.cc
@@ -163,7 +163,7 @@
     accept(found);
     this->placement_owned = this->current.fence == this->term_fence;
   } else {
-    // Another writer won: read the document again before the next write.
+    // Another writer came first: read the document again before the next write.
     this->placement_read = false;
     this->placement_owned = false;
     this->pending_changes.clear();
--- a/src/planner.cc
+++ b/src/planner.cc
@@ -58,7 +58,8 @@
                        [&](const auto& host) { return this->present(host); });
   }
 
-  /// Serving and complete. Planned changes must keep enough such groups.
+  /// Whether a group is serving and complete. Planned changes must keep enough
+  /// such groups.
   bool counts_as_serving(const group& g) const {
     return g.phase == group_phase::serving && this->ready(g);
   }
@@ -96,7 +97,7 @@
     return it == model.replicas.end() ? 0 : it->second;
   }
 
-  /// Groups that are complete start to serve; drained ones are released.
+  /// Lets complete groups serve and releases drained ones.
   void advance_groups() {
     std::vector<group> kept;
     for (auto& g : this->next.groups) {
@@ -113,8 +114,8 @@
     this->next.groups = std::move(kept);
   }
 
-  /// A group with a leaving host drains at once, since a leaving server takes
-  /// no new requests. Groups that are merely unwanted drain only as far as the
+  /// Drains a group with a leaving host at once, since a leaving server accepts
+  /// no new requests, and groups that are merely unwanted only as far as the
   /// minimum of serving groups allows.
   void drain_unwanted() {
     for (auto& g : this->next.groups) {
@@ -283,8 +284,9 @@
     return {sizes.begin(), sizes.end()};
   }
 
-  /// Hosts for a new replica: within one domain, or across several if the model
-  /// allows it and no domain has enough. Empty if there are too few.
+  /// Chooses the hosts of a new replica: within one domain, or across several
+  /// if the model allows it and no domain has enough. Empty if there are too
+  /// few.
   std::vector<std::string> choose_hosts(const model_config& model) const {
     const auto need = static_cast<size_t>(model.hosts_per_replica);
     std::vector<domain_supply> fitting;
--- a/src/remote-gossip.cc
+++ b/src/remote-gossip.cc
@@ -29,8 +29,8 @@
 /// A node sends its state at least this often, even if it has not changed.
 constexpr absl::Duration max_silence = absl::Milliseconds(500);
 
-/// A hall that has sent nothing for this long has no first node, or is
-/// unreachable.
+/// A hall that has sent nothing for this long has no top-ranked node that
+/// sends, or is unreachable.
 constexpr absl::Duration hall_timeout = absl::Seconds(3);
 
 /// The loads of remote halls that relays forward are stored under this one peer
@@ -135,11 +135,11 @@
                      });
 }
 
-void remote_gossip::apply_relayed(const std::vector<endpoint_load>& places,
+void remote_gossip::apply_relayed(const std::vector<endpoint_load>& loads,
                                   int nodes, absl::Time now) {
   if (this->meshed() || this->heard_directly(now)) return;
   this->relayed_nodes = nodes;
-  this->node.loads.update_peer(relayed_peer, places, now, true);
+  this->node.loads.update_peer(relayed_peer, loads, now, true);
 }
 
 int remote_gossip::nodes(absl::Time now) const {
@@ -154,24 +154,24 @@
 
 std::vector<std::string> remote_gossip::lease_candidates(absl::Time now) const {
   const bool mesh = this->meshed();
-  std::vector<relay_candidate> all = this->link.live_local_peers();
-  all.push_back({this->node.settings.node, this->node.settings.cores});
+  std::vector<relay_candidate> candidates = this->link.live_local_peers();
+  candidates.push_back({this->node.settings.node, this->node.settings.cores});
   if (!mesh) {
-    const auto contacts = top_ranked(relay_order(all));
-    std::erase_if(all, [&](const relay_candidate& c) {
+    const auto contacts = top_ranked(relay_order(candidates));
+    std::erase_if(candidates, [&](const relay_candidate& c) {
       return std::find(contacts.begin(), contacts.end(), c.name) ==
              contacts.end();
     });
   }
-  for (const auto& [hall, known] : this->link.remote_hall_peers()) {
-    const auto contacts = this->top_ranked_of(hall, known, now);
-    for (const auto& node_of_hall : known) {
-      const bool first = std::find(contacts.begin(), contacts.end(),
-                                   node_of_hall.name) != contacts.end();
-      if (first || mesh) all.push_back(node_of_hall);
+  for (const auto& [hall, peers] : this->link.remote_hall_peers()) {
+    const auto contacts = this->top_ranked_of(hall, peers, now);
+    for (const auto& node_of_hall : peers) {
+      const bool is_contact = std::find(contacts.begin(), contacts.end(),
+                                        node_of_hall.name) != contacts.end();
+      if (is_contact || mesh) candidates.push_back(node_of_hall);
     }
   }
-  return relay_order(std::move(all));
+  return relay_order(std::move(candidates));
 }
 
 }  // namespace spokesail
--- a/src/speed-table.cc
+++ b/src/speed-table.cc
@@ -17,8 +17,8 @@
 
 /// A node reports an endpoint that is at least this slow, given this many
 /// samples. If a peer has reported the endpoint, fewer samples suffice: nodes
-/// that saw nothing unusual would not report on their own, and the slowness
-/// would be computed from the reports of the affected nodes alone.
+/// that saw nothing unusual would not report on their own, and only the reports
+/// of slowness would be counted.
 constexpr double report_threshold = 2;
 constexpr int min_samples_to_report = 2;
 constexpr int min_samples_to_confirm = 1;
@@ -52,12 +52,12 @@
 /// The lower weighted median; the values are (value, weight).
 double median_of(std::vector<std::pair<double, double>> values) {
   std::sort(values.begin(), values.end());
-  double all = 0;
-  for (const auto& [value, weight] : values) all += weight;
+  double total = 0;
+  for (const auto& [value, weight] : values) total += weight;
   double sum = 0;
   for (const auto& [value, weight] : values) {
     sum += weight;
-    if (2 * sum >= all) return value;
+    if (2 * sum >= total) return value;
   }
   return values.empty() ? 1 : values.back().first;
 }
--- a/test/relay-fleet.h
+++ b/test/relay-fleet.h
@@ -37,7 +37,7 @@
     server_change_batch batch;
   };
 
-  /// The fate of a message on a link: its delay, or that it is lost.
+  /// The outcome of a message on a link: its delay, or that it is lost.
   using link = std::function<absl::Duration(const message&)>;
   static constexpr absl::Duration lost = absl::InfiniteDuration();
 
@@ -54,7 +54,7 @@
     }
   }
 
-  /// Makes the first node learn of a change.
+  /// Makes a change, which the first node receives at once.
   void change() {
     const int64_t revision = ++this->last_revision;
     listed_server server;
