--- a/include/spokesail/demand-table.h
+++ b/include/spokesail/demand-table.h
@@ -1,4 +1,4 @@
-// Sums up what nodes and data halls say that callers ask for.
+// Sums up the demand that nodes and data halls report.
 #pragma once
 
 #include <absl/time/time.h>
@@ -11,55 +11,57 @@
 
 namespace spokesail {
 
-/// What callers ask for in all data halls, as far as it is known.
+/// Demand in all data halls, as far as it is known.
 struct demand_view {
   std::vector<model_demand> models;
-  /// Age of the oldest word in it.
+  /// Age of the oldest report that is included.
   absl::Duration age = absl::ZeroDuration();
-  /// Data halls that spoke before and are silent now.
+  /// Data halls that reported before and no longer do.
   int missing_halls = 0;
   bool operator==(const demand_view&) const = default;
 };
 
-/// The last words of peers and of data halls.
+/// The latest reports of peers and of data halls.
 class demand_table {
  public:
-  /// A word counts for this long: it is said once a second, and one or two may
-  /// be lost.
-  static constexpr absl::Duration word_time = absl::Seconds(3);
-  /// A hall that says nothing for this long has no callers either.
-  static constexpr absl::Duration hall_time = absl::Seconds(30);
+  /// A report counts for this long: it is sent once a second, and one or two
+  /// may be lost.
+  static constexpr absl::Duration report_ttl = absl::Seconds(3);
+  /// A hall without a report for this long has no demand either.
+  static constexpr absl::Duration hall_ttl = absl::Seconds(30);
 
-  /// Takes a node's word. An empty one says nothing.
-  void take_node(const std::string& node, const std::string& hall,
-                 const std::vector<model_demand>& said, absl::Time now);
+  /// Stores a node's report, which replaces that of the whole hall. An empty
+  /// one is ignored.
+  void update_node(const std::string& node, const std::string& hall,
+                   const std::vector<model_demand>& demand, absl::Time now);
 
-  /// Takes the word of a whole hall, in place of its nodes' words.
-  void take_hall(const std::string& hall, const std::vector<model_demand>& said,
-                 absl::Time now);
+  /// Stores the report of a whole hall, which replaces those of its nodes. An
+  /// empty one is ignored.
+  void update_hall(const std::string& hall,
+                   const std::vector<model_demand>& demand, absl::Time now);
 
-  /// The sum of one hall's words and of this node's `own`.
+  /// The sum of one hall's reports and of this node's `own` demand.
   std::vector<model_demand> hall_sum(const std::string& hall,
                                      const std::vector<model_demand>& own,
                                      absl::Time now) const;
 
-  /// The sum of all words and of this node's `own`.
+  /// The sum of all reports and of this node's `own` demand.
   demand_view total(const std::vector<model_demand>& own, absl::Time now) const;
 
  private:
-  struct word {
+  struct node_report {
     std::vector<model_demand> demand;
     absl::Time at;
   };
-  /// Words of one hall by node; of the whole hall under an empty name.
-  struct hall_words {
-    std::map<std::string, word> nodes;
+  /// Reports of one hall by node; that of the whole hall has an empty name.
+  struct hall_reports {
+    std::map<std::string, node_report> nodes;
     absl::Time at = absl::InfinitePast();
   };
-  void take(const std::string& hall, const std::string& node,
-            const std::vector<model_demand>& said, absl::Time now);
+  void store(const std::string& hall, const std::string& node,
+             const std::vector<model_demand>& demand, absl::Time now);
 
-  std::map<std::string, hall_words> halls;
+  std::map<std::string, hall_reports> halls;
 };
 
 }  // namespace spokesail
--- a/include/spokesail/fleet-size.h
+++ b/include/spokesail/fleet-size.h
@@ -1,4 +1,4 @@
-// How many nodes share what the fleet may do in all.
+// Number of nodes among which fleet-wide limits are divided.
 #pragma once
 
 #include <absl/time/time.h>
@@ -8,27 +8,28 @@
 
 namespace spokesail {
 
-/// Remembers the most nodes that lived at one time. A node that falls silent
-/// may be cut off and still act, so that nobody's part of a common limit may
-/// grow as soon as others are not heard.
-class fleet_size {
+/// Sliding-window maximum of the number of live nodes. A node whose
+/// messages no longer arrive may be partitioned and still send requests, so the
+/// other nodes must not enlarge their shares of a common limit at once.
+class peak_fleet_size {
  public:
-  /// Counts are kept for this long: regions may lose each other for an hour.
-  static constexpr absl::Duration memory = absl::Hours(2);
+  /// Length of the window. Regions may be partitioned for an hour.
+  static constexpr absl::Duration retention = absl::Hours(2);
 
-  /// Takes note of the nodes that live, this one included.
-  void note(int nodes, absl::Time now);
+  /// Records the number of live nodes, including this one.
+  void record(int nodes, absl::Time now);
 
-  /// The most nodes that lived within the memory, or at the last count if that
-  /// is older; nothing before the first.
-  std::optional<int> most(absl::Time now);
+  /// Returns the maximum within the window, or the last count if it is older
+  /// than the window; nothing before the first count.
+  std::optional<int> peak(absl::Time now);
 
  private:
   struct count {
     int nodes = 0;
     absl::Time at;
   };
-  /// Falling counts, each with the last time at which as many lived.
+  /// Monotonic queue: decreasing counts, each with the last time at which at
+  /// least as many nodes were alive.
   std::deque<count> counts;
 };
 
--- a/include/spokesail/limit-spread.h
+++ b/include/spokesail/limit-spread.h
@@ -21,7 +21,7 @@
   /// number of peers.
   static constexpr int base_rounds = 4;
   /// Maximum number of reports in a message.
-  static constexpr size_t most_reports = 60;
+  static constexpr size_t max_reports = 60;
 
   /// Reports to send to one peer.
   struct message {
@@ -30,8 +30,8 @@
     bool operator==(const message&) const = default;
   };
 
-  /// Returns the messages of the next round to `peers`. Consumes the
-  /// changes recorded in `limits`.
+  /// Returns the messages of the next round to `peers`. Consumes the changes
+  /// recorded in `limits`.
   std::vector<message> next_round(server_limits& limits,
                                   const std::vector<std::string>& peers,
                                   random_stream& random, absl::Time now);
--- a/include/spokesail/load-table.h
+++ b/include/spokesail/load-table.h
@@ -10,73 +10,76 @@
 
 namespace spokesail {
 
-/// What one node has in flight at one place (a group or a server).
-struct place_load {
-  std::string place;
+/// The requests that one node has in flight at one endpoint (a group or a
+/// server).
+struct endpoint_load {
+  std::string endpoint;
   int running = 0;
   /// Prompt tokens sent there whose first event has not come.
-  double unread_tokens = 0;
-  bool operator==(const place_load&) const = default;
+  double pending_prefill_tokens = 0;
+  bool operator==(const endpoint_load&) const = default;
 };
 
-/// Sums own and peers' requests. A peer's word counts for a bounded time. The
-/// sums are kept as words come and go, so that a look-up costs the same
-/// however many peers there are.
+/// Sums this node's and its peers' requests. A peer's report expires after a
+/// fixed time. The sums are updated incrementally, so that a look-up costs the
+/// same however many peers there are.
 class load_table {
  public:
-  /// A peer that says nothing for this long is taken to have nothing in
-  /// flight; several gossip periods, so that a lost datagram does not matter.
-  static constexpr absl::Duration peer_time = absl::Milliseconds(1500);
+  /// A peer that reports nothing for this long is taken to have nothing in
+  /// flight. Spans several gossip periods, so that a lost datagram has no
+  /// effect.
+  static constexpr absl::Duration peer_timeout = absl::Milliseconds(1500);
 
-  /// Takes a request as sent to a place, its prompt unread.
-  void begin(const std::string& place, double prompt_tokens);
-  /// Takes prompt tokens as read.
-  void read(const std::string& place, double prompt_tokens);
-  /// Takes a request as ended.
-  void end(const std::string& place);
+  /// Counts a request sent to an endpoint, with the prefill of its prompt
+  /// pending.
+  void begin(const std::string& endpoint, double prompt_tokens);
+  /// Counts the prefill of prompt tokens as finished.
+  void finish_prefill(const std::string& endpoint, double prompt_tokens);
+  /// Removes a request that has ended.
+  void end(const std::string& endpoint);
 
-  /// Replaces what a peer has in flight. `far` tells that it is in another
-  /// data hall, or speaks for one.
-  void take_peer(const std::string& peer, std::vector<place_load> loads,
-                 absl::Time now, bool far = false);
+  /// Replaces a peer's report. `remote` is set if the peer is in another data
+  /// hall or reports for one.
+  void update_peer(const std::string& peer, std::vector<endpoint_load> loads,
+                   absl::Time now, bool remote = false);
 
-  /// Forgets a peer's word.
-  void drop_peer(const std::string& peer);
+  /// Drops a peer's report.
+  void remove_peer(const std::string& peer);
 
-  /// All requests at a place, as far as this node knows.
-  place_load total(const std::string& place, absl::Time now);
+  /// All requests at an endpoint, as far as this node knows.
+  endpoint_load total(const std::string& endpoint, absl::Time now);
 
-  /// Requests of this node that have begun.
-  uint64_t begun() const { return this->begun_count; }
-  /// This node's own, for its peers.
-  std::vector<place_load> own() const;
-  /// Requests of this node at one place.
-  int own_running(const std::string& place) const;
-  /// What this data hall, or all others, have in flight by place.
-  std::vector<place_load> hall_sum(bool far, absl::Time now);
+  /// Number of requests that this node has started.
+  uint64_t requests_begun() const { return this->started_count; }
+  /// This node's own requests, to report to its peers.
+  std::vector<endpoint_load> own_loads() const;
+  /// Number of this node's requests at one endpoint.
+  int own_running(const std::string& endpoint) const;
+  /// Requests in flight by endpoint, of this data hall or of all others.
+  std::vector<endpoint_load> hall_sum(bool remote, absl::Time now);
 
  private:
-  /// A peer's requests, and when it told of them.
+  /// A peer's requests, and when it reported them.
   struct peer_load {
-    std::vector<place_load> places;
+    std::vector<endpoint_load> loads;
     absl::Time at;
-    bool far = false;
+    bool remote = false;
   };
-  using sums = absl::flat_hash_map<std::string, place_load>;
+  using sums = absl::flat_hash_map<std::string, endpoint_load>;
 
-  /// Adds a peer's requests to the sums, or takes them out again.
-  void count(const peer_load& peer, int sign);
-  /// Takes out words that are too old.
+  /// Adds a peer's requests to the sums, or subtracts them.
+  void add_scaled(const peer_load& peer, int sign);
+  /// Drops expired reports.
   void expire(absl::Time now);
 
-  uint64_t begun_count = 0;
-  sums mine;
-  /// Peers' requests, of this data hall and of the others.
-  sums near_sums;
-  sums far_sums;
+  uint64_t started_count = 0;
+  sums own_sums;
+  /// Sums of the peers in this data hall and in the others.
+  sums local_sums;
+  sums remote_sums;
   absl::flat_hash_map<std::string, peer_load> peers;
-  /// No word becomes too old before.
-  absl::Time oldest = absl::InfiniteFuture();
+  /// Time of the oldest report; none expires before it does.
+  absl::Time oldest_report = absl::InfiniteFuture();
 };
 
 }  // namespace spokesail
--- a/include/spokesail/reducer.h
+++ b/include/spokesail/reducer.h
@@ -1,4 +1,4 @@
-// The node's one reducer: state and event in, state and effects out.
+// The node's state machine: maps state and event to new state and effects.
 #pragma once
 
 #include <absl/time/time.h>
@@ -26,16 +26,17 @@
   member_info self;
   uint64_t boot = 0;
   uint64_t seed = 1;
-  absl::Duration beat_period = absl::Milliseconds(1000);
+  absl::Duration heartbeat_period = absl::Milliseconds(1000);
   absl::Duration probe_period = absl::Milliseconds(500);
   absl::Duration probe_deadline = absl::Milliseconds(500);
   /// A host counts as present for this long after a probe reached it.
   absl::Duration presence_window = absl::Milliseconds(2500);
-  /// A peer counts as alive for this long after its last word.
+  /// A peer counts as alive for this long after its latest message.
   absl::Duration member_window = absl::Seconds(3);
-  /// Without news by a watcher for this long, a node asks the platform.
+  /// A node that has received nothing from a watcher for this long polls the
+  /// platform.
   absl::Duration poll_after = absl::Seconds(4);
-  /// How long a stopping node waits for the balancer to notice.
+  /// How long a stopping node waits for the load balancer to notice.
   absl::Duration stop_delay = absl::Seconds(2);
   size_t watchers = 2;
   size_t probers = 2;
@@ -46,7 +47,7 @@
 struct probe_slot {
   std::string address;
   absl::Time sent = absl::InfinitePast();
-  bool out = false;
+  bool in_flight = false;
   /// When the last answered probe was sent.
   absl::Time answered = absl::InfinitePast();
 };
@@ -72,18 +73,18 @@
   std::map<std::string, absl::Time> lost_since;
 
   std::map<std::string, probe_slot> probes;
-  int64_t words_epoch = 1;
-  int64_t beat_sequence = 0;
-  absl::Time next_beat = absl::InfinitePast();
-  bool beat_now = false;
+  int64_t observations_epoch = 1;
+  int64_t heartbeat_sequence = 0;
+  absl::Time next_heartbeat = absl::InfinitePast();
+  bool heartbeat_due = false;
   bool watching = false;
-  bool bundle_asked = false;
-  absl::Time bundle_asked_at = absl::InfinitePast();
-  bool poll_out = false;
-  absl::Time heard_platform = absl::InfinitePast();
+  bool bundle_requested = false;
+  absl::Time bundle_requested_at = absl::InfinitePast();
+  bool poll_pending = false;
+  absl::Time last_platform_contact = absl::InfinitePast();
   absl::Time started = absl::InfinitePast();
   uint64_t write_count = 0;
-  std::map<std::string, bool> open_before;
+  std::map<std::string, bool> was_open;
   std::map<std::string, absl::Time> closed_since;
   bool stopping = false;
   absl::Time stop_at = absl::InfiniteFuture();
@@ -91,20 +92,21 @@
   absl::Time last_event = absl::InfinitePast();
 };
 
-/// Makes the state of a node that starts at `now`.
+/// Creates the state of a node that starts at `now`.
 node_state make_node(const node_options& options, absl::Time now);
 
-/// What one event led to.
+/// The result of one event.
 struct reduction {
   node_state state;
   std::vector<effect> effects;
 };
 
-/// Takes one event. The same state and event always give the same result.
+/// Handles one event. The same state and event always give the same result.
 reduction reduce(node_state state, const event& e);
 
-/// Whether `g` may take requests at `now`: the placement says serving, and
-/// every member has itself reported the group and incarnation as ready.
+/// Whether `g` may receive requests at `now`: the placement says that it is
+/// serving, and every member has itself reported the group and incarnation as
+/// ready.
 bool group_open(const node_state& state, const group& g, absl::Time now);
 
 }  // namespace spokesail
--- a/src/config-feed.cc
+++ b/src/config-feed.cc
@@ -1,4 +1,4 @@
-// Listings and watches of the configuration.
+// Applies listings and watches of the configuration.
 #include "config-feed.h"
 
 #include <absl/strings/str_cat.h>
@@ -9,20 +9,22 @@
 namespace spokesail {
 namespace {
 
-/// A watch of the configuration that runs out proves that it is unchanged. A
-/// node that the store turns away silently notices it by this and the slack of
-/// a watch; those that follow it have to read the store themselves before a
-/// change must be in force everywhere, two seconds after it was made. Only the
-/// holder of the lease watches as a rule, so that the calls stay few.
+/// Maximum wait of a watch of the configuration. A watch that times out
+/// verifies that the configuration is unchanged. If the store silently drops a
+/// node's calls, the node notices after this wait and the slack of a watch. Its
+/// followers then still have time to read the store themselves: a change has to
+/// be in force everywhere two seconds after it was made. Few calls are made,
+/// since normally only the lease holder watches.
 constexpr absl::Duration watch_wait = absl::Milliseconds(400);
 
-/// The first watch of a node that begins to watch is short, so that it has a
-/// proof of its own before those that ask it pass it over.
+/// Wait of the first watch after a node starts to watch. It is short so that
+/// the node has verified the configuration itself before its followers consider
+/// it stale and choose another relay.
 constexpr absl::Duration first_watch_wait = absl::Milliseconds(50);
 
-/// A node that is told of changes reads the configuration at most this often:
-/// changes come in bursts, and each read is priced.
-constexpr absl::Duration read_gap = absl::Milliseconds(350);
+/// Minimum time between two reads of the configuration by a node that is
+/// notified of changes: changes come in bursts, and each read is charged.
+constexpr absl::Duration min_read_interval = absl::Milliseconds(350);
 
 }  // namespace
 
@@ -31,59 +33,62 @@
       node(state) {}
 
 absl::Duration config_feed::wait(bool first) {
-  this->waited = first ? first_watch_wait : watch_wait;
-  return this->waited;
+  this->current_watch_wait = first ? first_watch_wait : watch_wait;
+  return this->current_watch_wait;
 }
 
 bool config_feed::must_list() const {
-  return this->wanted > this->node.config_revision &&
-         this->node.now() - this->listed_at >= read_gap;
+  return this->requested_revision > this->node.config_revision &&
+         this->node.now() - this->listed_at >= min_read_interval;
 }
 
-bool config_feed::may_copy() const {
-  // A relay's word proves the revision, wherever the content comes from.
-  return this->wanted > this->node.config_revision;
+bool config_feed::allows_stale_copy() const {
+  // The relay has verified the revision, so the content may come from any copy.
+  return this->requested_revision > this->node.config_revision;
 }
 
-bool config_feed::holds_wanted(const object_listing& listing) const {
-  return std::any_of(
-      listing.objects.begin(), listing.objects.end(),
-      [this](const object& o) { return o.version >= this->wanted; });
+bool config_feed::contains_requested(const object_listing& listing) const {
+  return std::any_of(listing.objects.begin(), listing.objects.end(),
+                     [this](const object& o) {
+                       return o.version >= this->requested_revision;
+                     });
 }
 
-void config_feed::take_listing(const object_listing& listing,
-                               absl::Time proof) {
+void config_feed::apply_listing(const object_listing& listing,
+                                absl::Time verified_at) {
   this->listed_at = this->node.now();
-  for (const auto& o : listing.objects) this->take_config(o);
-  this->take_proof(proof);
+  for (const auto& o : listing.objects) this->apply_config(o);
+  this->advance_verified_at(verified_at);
 }
 
-absl::Duration config_feed::take_changes(const object_changes& changes,
-                                         absl::Time sent) {
-  // A watch that ran out saw nothing until its wait was over.
-  const absl::Time proof = changes.objects.empty()
-                               ? std::min(this->node.now(), sent + this->waited)
-                               : sent;
-  for (const auto& o : changes.objects) this->take_config(o);
-  this->take_proof(proof);
+absl::Duration config_feed::apply_changes(const object_changes& changes,
+                                          absl::Time sent) {
+  // A watch that timed out verifies that nothing changed during its wait.
+  const absl::Time verified_at =
+      changes.objects.empty()
+          ? std::min(this->node.now(), sent + this->current_watch_wait)
+          : sent;
+  for (const auto& o : changes.objects) this->apply_config(o);
+  this->advance_verified_at(verified_at);
   return absl::ZeroDuration();
 }
 
-void config_feed::take_config(const object& o) {
+void config_feed::apply_config(const object& o) {
   if (o.key.name != this->node.adapter.kinds().config_name || o.deleted) return;
   if (o.version <= this->node.config_revision) return;
   auto config = this->node.adapter.read_config(o);
   if (!config) {
-    this->unreadable = o.version;
-    this->node.log.belief("config_unreadable",
-                          {{"rev", absl::StrCat(o.version)}}, this->node.now());
+    this->unreadable_revision = o.version;
+    this->node.log.state_change("config_unreadable",
+                                {{"rev", absl::StrCat(o.version)}},
+                                this->node.now());
     return;
   }
   this->node.config_revision = o.version;
   this->node.config_object = std::make_shared<const object>(o);
   this->node.routes = std::make_shared<const routing_table>(*config);
-  this->node.forget_groups();
-  this->node.log.belief(
+  this->node.invalidate_group_cache();
+  this->node.log.state_change(
       "config_in_force",
       {{"version", absl::StrCat(config->version)},
        {"rev", absl::StrCat(o.version)},
@@ -93,9 +98,10 @@
   this->on_change();
 }
 
-void config_feed::take_proof(absl::Time proof) {
-  if (this->unreadable > this->node.config_revision) return;
-  this->node.config_proof = std::max(this->node.config_proof, proof);
+void config_feed::advance_verified_at(absl::Time verified_at) {
+  if (this->unreadable_revision > this->node.config_revision) return;
+  this->node.config_verified_at =
+      std::max(this->node.config_verified_at, verified_at);
 }
 
 }  // namespace spokesail
--- a/src/config-reader.cc
+++ b/src/config-reader.cc
@@ -13,42 +13,43 @@
 
 namespace fs = std::filesystem;
 
-constexpr int most_hosts = 64;
-constexpr int most_replicas = 1000;
+constexpr int max_hosts = 64;
+constexpr int max_replicas = 1000;
 constexpr int64_t day_ms = 24LL * 3600 * 1000;
 
 model_config read_model(yaml_map& m) {
   model_config out;
   out.name = m.name("name");
   out.version = m.text("version", out.version);
-  out.adapters = m.texts("adapters", {});
+  out.adapters = m.string_list("adapters", {});
   out.hosts_per_replica =
-      static_cast<int>(m.integer("hosts_per_replica", 1, 1, most_hosts));
-  out.replicas = m.integers("replicas", 0, most_replicas);
+      static_cast<int>(m.integer("hosts_per_replica", 1, 1, max_hosts));
+  out.replicas = m.integers("replicas", 0, max_replicas);
   out.minimum_serving =
-      static_cast<int>(m.integer("minimum_serving", 0, 0, most_replicas));
+      static_cast<int>(m.integer("minimum_serving", 0, 0, max_replicas));
   out.importance = static_cast<int>(m.integer("importance", 0, 0, 100));
   out.cross_domain = m.boolean("cross_domain", false);
   out.max_concurrent = static_cast<int>(
       m.integer("max_concurrent", out.max_concurrent, 1, 4096));
   for (const auto& [hall, replicas] : out.replicas) {
     if (replicas > 0 && out.minimum_serving > replicas) {
-      m.fault("minimum_serving", std::to_string(out.minimum_serving),
-              absl::StrCat("at most the ", replicas, " replicas of ", hall));
+      m.add_fault(
+          "minimum_serving", std::to_string(out.minimum_serving),
+          absl::StrCat("at most the ", replicas, " replicas of ", hall));
     }
   }
-  m.finish();
+  m.check_unknown_keys();
   return out;
 }
 
-service_config read_service(yaml_map& m) {
+service_config build_service_state(yaml_map& m) {
   service_config out;
   out.name = m.name("name");
   out.max_concurrent = static_cast<int>(
       m.integer("max_concurrent", out.max_concurrent, 1, 4096));
   out.repeatable_methods =
-      m.texts("repeatable_methods", out.repeatable_methods);
-  m.finish();
+      m.string_list("repeatable_methods", out.repeatable_methods);
+  m.check_unknown_keys();
   return out;
 }
 
@@ -59,7 +60,7 @@
   out.rate = m.number("rate", out.rate, 0, 1e6);
   out.max_priority =
       static_cast<int>(m.integer("max_priority", out.max_priority, 0, 9));
-  m.finish();
+  m.check_unknown_keys();
   return out;
 }
 
@@ -74,17 +75,17 @@
       m.milliseconds("default_deadline_ms", out.default_deadline, 100, day_ms);
   out.repair_grace =
       m.milliseconds("repair_grace_ms", out.repair_grace, 0, day_ms);
-  m.finish();
+  m.check_unknown_keys();
   return out;
 }
 
-/// Adds `value` unless its name is taken.
+/// Adds `value` to `all`; reports a fault if its name is already in use.
 template <typename T>
 void add_named(std::vector<T>& all, T value, yaml_map& m,
                const std::string& kind) {
   for (const auto& other : all) {
     if (other.name == value.name) {
-      m.fault("name", value.name, "a name that no other " + kind + " has");
+      m.add_fault("name", value.name, "a unique " + kind + " name");
     }
   }
   all.push_back(std::move(value));
@@ -99,39 +100,39 @@
     add_named(out.models, read_model(m), m, "model");
   }
   for (auto& m : root.maps("services")) {
-    add_named(out.services, read_service(m), m, "service");
+    add_named(out.services, build_service_state(m), m, "service");
   }
   for (auto& m : root.maps("workspaces")) {
     add_named(out.workspaces, read_workspace(m), m, "workspace");
   }
   if (root.has("limits")) {
     if (limits_seen) {
-      root.fault("limits", "a second one", "one in the whole directory");
+      root.add_fault("limits", "a duplicate", "one in the whole directory");
     }
     limits_seen = true;
   }
   yaml_map limits = root.map("limits");
   if (root.has("limits")) out.limits = read_limits(limits);
-  root.finish();
+  root.check_unknown_keys();
 }
 
 template <typename T>
 void diff_named(const std::string& kind, const std::vector<T>& from,
                 const std::vector<T>& to, std::vector<std::string>& lines) {
-  const auto has = [](const std::vector<T>& all, const T& one) {
+  const auto find_in = [](const std::vector<T>& all, const T& one) {
     return std::find_if(all.begin(), all.end(),
                         [&](const T& other) { return other.name == one.name; });
   };
   for (const auto& one : from) {
-    if (has(to, one) == to.end()) {
+    if (find_in(to, one) == to.end()) {
       lines.push_back(absl::StrCat("- ", kind, " ", one.name));
     }
   }
   for (const auto& one : to) {
-    const auto old = has(from, one);
-    if (old == from.end()) {
+    const auto previous = find_in(from, one);
+    if (previous == from.end()) {
       lines.push_back(absl::StrCat("+ ", kind, " ", one.name));
-    } else if (!(*old == one)) {
+    } else if (!(*previous == one)) {
       lines.push_back(absl::StrCat("~ ", kind, " ", one.name));
     }
   }
--- a/src/connection-pool.cc
+++ b/src/connection-pool.cc
@@ -1,4 +1,4 @@
-// Keeps and gives connections, and closes those kept for too long.
+// Stores idle connections for reuse and closes expired ones.
 #include "connection-pool.h"
 
 #include "detail/socket.h"
@@ -9,28 +9,28 @@
     const std::string& server, absl::Time now) {
   const auto found = this->by_server.find(server);
   if (found == this->by_server.end()) return std::nullopt;
-  auto& kept = found->second;
-  while (!kept.empty()) {
-    auto item = std::move(kept.back());
-    kept.pop_back();
-    // Bytes that nobody asked for belong to no request: such a connection,
-    // like a closed one, is not used again.
-    if (now < item.until && detail::open_and_silent(item.socket)) {
+  auto& idle = found->second;
+  while (!idle.empty()) {
+    auto item = std::move(idle.back());
+    idle.pop_back();
+    // Unread bytes on an idle connection belong to no request, so it is not
+    // reused, nor is a closed one.
+    if (now < item.expires_at && detail::is_open_and_idle(item.socket)) {
       return std::move(item.socket);
     }
   }
   return std::nullopt;
 }
 
-void connection_pool::keep(const std::string& server,
-                           boost::asio::ip::tcp::socket socket,
-                           absl::Time until) {
-  this->by_server[server].push_back({std::move(socket), until});
+void connection_pool::put(const std::string& server,
+                          boost::asio::ip::tcp::socket socket,
+                          absl::Time expires_at) {
+  this->by_server[server].push_back({std::move(socket), expires_at});
 }
 
 void connection_pool::expire(absl::Time now) {
-  for (auto& [server, kept] : this->by_server) {
-    std::erase_if(kept, [&](auto& item) { return now >= item.until; });
+  for (auto& [server, idle] : this->by_server) {
+    std::erase_if(idle, [&](auto& item) { return now >= item.expires_at; });
   }
   std::erase_if(this->by_server,
                 [](const auto& item) { return item.second.empty(); });
@@ -38,7 +38,7 @@
 
 size_t connection_pool::size() const {
   size_t sum = 0;
-  for (const auto& [server, kept] : this->by_server) sum += kept.size();
+  for (const auto& [server, idle] : this->by_server) sum += idle.size();
   return sum;
 }
 
--- a/src/controller.cc
+++ b/src/controller.cc
@@ -75,13 +75,13 @@
       policy(make_policy(timing.policy)) {}
 
 void controller::follow_lease(absl::Time now) {
-  const bool leads = this->leads(now);
-  const int64_t fence = leads ? this->own_lease.fence() : -1;
-  if (fence == this->led_fence) return;
-  this->led_fence = fence;
-  this->led_since = leads ? now : absl::InfiniteFuture();
-  this->taken_over = false;
-  this->fresh = false;
+  const bool holds_lease = this->leads(now);
+  const int64_t fence = holds_lease ? this->own_lease.fence() : -1;
+  if (fence == this->term_fence) return;
+  this->term_fence = fence;
+  this->term_since = holds_lease ? now : absl::InfiniteFuture();
+  this->placement_owned = false;
+  this->placement_read = false;
   this->write.reset();
   this->pending_changes.clear();
   this->draining_since.clear();
@@ -95,35 +95,35 @@
   if (!this->leads(now)) return actions;
   actions.placement_call =
       this->advance_placement(view, now, write_id + "-place", actions);
-  if (this->taken_over) actions.orders = this->due_orders(view, now);
+  if (this->placement_owned) actions.orders = this->due_orders(view, now);
   return actions;
 }
 
 std::optional<platform_call> controller::advance_placement(
     const controller_view& view, absl::Time now, const std::string& write_id,
     controller_actions& actions) {
-  if (this->placement_call_out) return std::nullopt;
+  if (this->placement_call_pending) return std::nullopt;
   if (this->write) {
-    this->placement_call_out = true;
+    this->placement_call_pending = true;
     return next_call(*this->write);
   }
-  if (!this->fresh) {
-    this->placement_call_out = true;
+  if (!this->placement_read) {
+    this->placement_call_pending = true;
     return platform_call{
         call_kind::read, {kinds::placement, this->hall}, 0, {}};
   }
   std::swap(actions.changes, this->pending_changes);
-  // A higher number in the document: this lease has been taken over.
-  if (this->current.fence > this->led_fence) return std::nullopt;
-  if (!this->taken_over) {
-    placement own = this->current;
-    own.hall = this->hall;
-    own.fence = this->led_fence;
-    return this->write_placement(own, write_id);
+  // A higher fencing number in the document: another holder has the lease.
+  if (this->current.fence > this->term_fence) return std::nullopt;
+  if (!this->placement_owned) {
+    placement claimed = this->current;
+    claimed.hall = this->hall;
+    claimed.fence = this->term_fence;
+    return this->write_placement(claimed, write_id);
   }
   if (now < this->next_plan || !view.config) return std::nullopt;
-  this->next_plan = now + this->timing.plan_every;
-  this->note_draining(now);
+  this->next_plan = now + this->timing.plan_interval;
+  this->update_draining(now);
   auto planned = plan(this->make_plan_input(view, now));
   if (planned.next == this->current) return std::nullopt;
   if (!shared_hosts(planned.next).empty()) return std::nullopt;
@@ -133,39 +133,39 @@
 
 std::optional<platform_call> controller::write_placement(
     const placement& next, const std::string& write_id) {
-  this->write = make_write(this->base, json(next).dump(), write_id);
-  this->placement_call_out = true;
+  this->write = make_write(this->base_object, json(next).dump(), write_id);
+  this->placement_call_pending = true;
   return next_call(*this->write);
 }
 
 std::optional<object> controller::on_placement_answer(
     const platform_answer& answer) {
-  this->placement_call_out = false;
-  const auto take = [this](const object& found) {
-    this->base = found;
+  this->placement_call_pending = false;
+  const auto accept = [this](const object& found) {
+    this->base_object = found;
     this->current = placement{};
     const json spec = json::parse(found.body, nullptr, false);
     if (spec.is_object()) this->current = spec.get<placement>();
-    this->fresh = true;
+    this->placement_read = true;
   };
   if (!this->write) {
-    if (answer.status == call_status::ok) take(answer.found);
+    if (answer.status == call_status::ok) accept(answer.found);
     if (answer.status == call_status::not_found) {
-      take(object{{kinds::placement, this->hall}, 0, {}, false});
+      accept(object{{kinds::placement, this->hall}, 0, {}, false});
     }
     return std::nullopt;
   }
-  this->write = answered(*this->write, answer);
-  if (!settled(*this->write)) return std::nullopt;
+  this->write = apply_answer(*this->write, answer);
+  if (!is_finished(*this->write)) return std::nullopt;
   const bool applied = this->write->state == write_state::applied;
   object found = this->write->found;
   if (applied && !found.body.empty()) {
-    take(found);
-    this->taken_over = this->current.fence == this->led_fence;
+    accept(found);
+    this->placement_owned = this->current.fence == this->term_fence;
   } else {
-    // Someone else wrote: read again, and write nothing until then.
-    this->fresh = false;
-    this->taken_over = false;
+    // Another writer came first: read the document again before the next write.
+    this->placement_read = false;
+    this->placement_owned = false;
     this->pending_changes.clear();
   }
   this->write.reset();
@@ -173,7 +173,7 @@
   return found;
 }
 
-void controller::note_draining(absl::Time now) {
+void controller::update_draining(absl::Time now) {
   std::map<std::string, absl::Time> since;
   for (const auto& g : this->current.groups) {
     if (g.phase != group_phase::draining) continue;
@@ -194,13 +194,15 @@
   in.draining_since = this->draining_since;
   in.drain_settle = this->timing.drain_settle;
   in.policy = this->policy.get();
-  // An order of the last holder may still be on its way to a host that does
-  // not check fencing numbers; nor is a host given away under our own order.
-  const absl::Time quiet = this->led_since + 2 * this->timing.order_deadline;
+  // An order of the previous holder may still be on its way to a host that does
+  // not check fencing numbers. Nor is a host given to another group while an
+  // order of this holder is outstanding.
+  const absl::Time earliest_reassignment =
+      this->term_since + 2 * this->timing.order_deadline;
   for (auto& [name, host] : in.hosts) {
-    if (!host.info.checks_fencing) host.reassign_after = quiet;
+    if (!host.info.checks_fencing) host.reassign_after = earliest_reassignment;
     const auto it = this->orders.find(name);
-    if (it == this->orders.end() || !it->second.out) continue;
+    if (it == this->orders.end() || !it->second.in_flight) continue;
     host.reassign_after = std::max(
         host.reassign_after, it->second.sent_at + this->timing.order_deadline);
   }
@@ -211,7 +213,7 @@
   const auto it = this->orders.find(host);
   if (it == this->orders.end()) return true;
   const auto& last = it->second;
-  if (last.out) {
+  if (last.in_flight) {
     return now >= last.sent_at + 2 * this->timing.order_deadline;
   }
   return now >= last.sent_at + this->timing.order_repeat;
@@ -282,7 +284,7 @@
   this->add_preloads(view, now, budget, out);
   const absl::Time until = this->own_lease.valid_until_time();
   for (auto& o : out) {
-    o.fence = this->led_fence;
+    o.fence = this->term_fence;
     o.not_after = std::min(until, now + this->timing.order_deadline);
     this->orders[o.host] = {now, true, order_status::accepted, o.group,
                             o.incarnation};
@@ -292,12 +294,12 @@
 
 std::vector<controller::spare_demand> controller::spare_demands(
     const controller_view& view, const std::string& domain) const {
-  std::set<std::string> here;
+  std::set<std::string> models_here;
   for (const auto& g : this->current.groups) {
-    const auto leader = view.hosts.find(g.hosts.front());
+    const auto head = view.hosts.find(g.hosts.front());
     const bool same =
-        leader != view.hosts.end() && leader->second.info.domain == domain;
-    if (same) here.insert(g.model);
+        head != view.hosts.end() && head->second.info.domain == domain;
+    if (same) models_here.insert(g.model);
   }
   std::vector<spare_demand> demands;
   for (const auto& model : view.config->models) {
@@ -305,12 +307,13 @@
     if (wanted == model.replicas.end() || wanted->second == 0) continue;
     // A group of this domain needs one host to replace a member; a group of
     // another domain moves here as a whole.
-    const bool member = here.count(model.name) != 0;
-    demands.push_back({&model, member ? 1 : model.hosts_per_replica, member});
+    const bool has_group = models_here.count(model.name) != 0;
+    demands.push_back(
+        {&model, has_group ? 1 : model.hosts_per_replica, has_group});
   }
   std::stable_sort(demands.begin(), demands.end(),
                    [](const spare_demand& x, const spare_demand& y) {
-                     if (x.member != y.member) return x.member;
+                     if (x.has_group != y.has_group) return x.has_group;
                      return x.model->importance > y.model->importance;
                    });
   return demands;
@@ -331,7 +334,7 @@
   }
   for (auto& [domain, hosts] : spares) {
     auto demands = this->spare_demands(view, domain);
-    // Hosts that have, or are loading, what is asked for stay as they are.
+    // Hosts that hold or are loading what is needed are left as they are.
     std::erase_if(hosts, [&](const host_view* host) {
       for (auto& demand : demands) {
         if (demand.count <= 0 || !holds_weights(*host->report, *demand.model)) {
@@ -343,24 +346,24 @@
       return host->report->phase == host_phase::loading;
     });
     for (const host_view* host : hosts) {
-      const auto open =
+      const auto unmet =
           std::find_if(demands.begin(), demands.end(),
                        [](const auto& demand) { return demand.count > 0; });
-      // Groups that wait for weights have taken their share before.
-      if (open == demands.end() || budget.loading >= budget.limit) break;
+      // Groups that wait for weights come first and are counted already.
+      if (unmet == demands.end() || budget.loading >= budget.limit) break;
       if (!this->may_send(host->info.name, now)) continue;
-      open->count--;
+      unmet->count--;
       budget.loading++;
-      out.push_back(make_preload(host->info, *open->model));
+      out.push_back(make_preload(host->info, *unmet->model));
     }
   }
 }
 
-void controller::on_order(const std::string& host, order_status status,
-                          absl::Time now) {
+void controller::on_order_result(const std::string& host, order_status status,
+                                 absl::Time now) {
   const auto it = this->orders.find(host);
   if (it == this->orders.end()) return;
-  it->second.out = false;
+  it->second.in_flight = false;
   it->second.status = status;
   if (status != order_status::accepted) it->second.sent_at = now;
 }
--- a/src/demand-table.cc
+++ b/src/demand-table.cc
@@ -1,4 +1,4 @@
-// The words of peers and halls, and their sums.
+// Stores the reports of peers and halls and sums them up.
 #include "spokesail/demand-table.h"
 
 #include <algorithm>
@@ -30,33 +30,34 @@
 
 }  // namespace
 
-void demand_table::take(const std::string& hall, const std::string& node,
-                        const std::vector<model_demand>& said, absl::Time now) {
+void demand_table::store(const std::string& hall, const std::string& node,
+                         const std::vector<model_demand>& demand,
+                         absl::Time now) {
   std::erase_if(this->halls, [&](const auto& item) {
-    return now - item.second.at >= hall_time;
+    return now - item.second.at >= hall_ttl;
   });
-  hall_words& words = this->halls[hall];
-  std::erase_if(words.nodes, [&](const auto& item) {
-    return now - item.second.at >= word_time;
+  hall_reports& reports = this->halls[hall];
+  std::erase_if(reports.nodes, [&](const auto& item) {
+    return now - item.second.at >= report_ttl;
   });
-  words.at = now;
-  words.nodes[node] = {said, now};
+  reports.at = now;
+  reports.nodes[node] = {demand, now};
 }
 
-void demand_table::take_node(const std::string& node, const std::string& hall,
-                             const std::vector<model_demand>& said,
-                             absl::Time now) {
-  if (said.empty()) return;
-  this->take(hall, node, said, now);
+void demand_table::update_node(const std::string& node, const std::string& hall,
+                               const std::vector<model_demand>& demand,
+                               absl::Time now) {
+  if (demand.empty()) return;
+  this->store(hall, node, demand, now);
   this->halls[hall].nodes.erase("");
 }
 
-void demand_table::take_hall(const std::string& hall,
-                             const std::vector<model_demand>& said,
-                             absl::Time now) {
-  if (said.empty()) return;
+void demand_table::update_hall(const std::string& hall,
+                               const std::vector<model_demand>& demand,
+                               absl::Time now) {
+  if (demand.empty()) return;
   this->halls[hall].nodes.clear();
-  this->take(hall, "", said, now);
+  this->store(hall, "", demand, now);
 }
 
 std::vector<model_demand> demand_table::hall_sum(
@@ -66,8 +67,8 @@
   add(own, out);
   const auto found = this->halls.find(hall);
   if (found == this->halls.end()) return as_list(out);
-  for (const auto& [node, said] : found->second.nodes) {
-    if (now - said.at < word_time) add(said.demand, out);
+  for (const auto& [node, report] : found->second.nodes) {
+    if (now - report.at < report_ttl) add(report.demand, out);
   }
   return as_list(out);
 }
@@ -77,14 +78,14 @@
   sums all;
   add(own, all);
   demand_view out;
-  for (const auto& [hall, words] : this->halls) {
-    const absl::Duration silent = now - words.at;
-    if (silent >= hall_time) continue;
-    if (silent >= word_time) out.missing_halls++;
-    for (const auto& [node, said] : words.nodes) {
-      if (now - said.at >= word_time) continue;
-      out.age = std::max(out.age, now - said.at);
-      add(said.demand, all);
+  for (const auto& [hall, reports] : this->halls) {
+    const absl::Duration age = now - reports.at;
+    if (age >= hall_ttl) continue;
+    if (age >= report_ttl) out.missing_halls++;
+    for (const auto& [node, report] : reports.nodes) {
+      if (now - report.at >= report_ttl) continue;
+      out.age = std::max(out.age, now - report.at);
+      add(report.demand, all);
     }
   }
   out.models = as_list(all);
--- a/src/detail/socket-deadline.h
+++ b/src/detail/socket-deadline.h
@@ -1,4 +1,4 @@
-// A limit on how long a socket stays open.
+// Timeout for a whole socket connection.
 #pragma once
 
 #include <absl/time/time.h>
@@ -11,7 +11,8 @@
 
 namespace spokesail::detail {
 
-/// Closes a socket when its time is up, unless this has gone before.
+/// Closes a socket when its time limit ends, unless this object was destroyed
+/// before.
 class socket_deadline {
  public:
   socket_deadline(const std::shared_ptr<boost::asio::ip::tcp::socket>& socket,
@@ -19,7 +20,7 @@
       : timer(socket->get_executor()) {
     this->timer.expires_after(absl::ToChronoNanoseconds(limit));
     this->timer.async_wait([socket](boost::system::error_code error) {
-      if (!error) close_quietly(*socket);
+      if (!error) close_ignoring_errors(*socket);
     });
   }
 
--- a/src/document.cc
+++ b/src/document.cc
@@ -10,7 +10,7 @@
 
 constexpr char writes_field[] = "writes";
 
-bool remembers(const object& found, const std::string& write_id) {
+bool contains_write_id(const object& found, const std::string& write_id) {
   const auto ids = write_ids(found.body);
   return std::find(ids.begin(), ids.end(), write_id) != ids.end();
 }
@@ -33,8 +33,8 @@
                           const std::string& write_id) {
   auto ids = write_ids(base.body);
   ids.push_back(write_id);
-  if (ids.size() > remembered_writes) {
-    ids.erase(ids.begin(), ids.end() - remembered_writes);
+  if (ids.size() > max_write_ids) {
+    ids.erase(ids.begin(), ids.end() - max_write_ids);
   }
   json body = json::parse(spec);
   body[writes_field] = ids;
@@ -53,25 +53,26 @@
   return {call_kind::write, write.key, write.base_version, write.body};
 }
 
-document_write answered(document_write write, const platform_answer& answer) {
+document_write apply_answer(document_write write,
+                            const platform_answer& answer) {
   write.attempts++;
   if (answer.status == call_status::unavailable) return write;
   if (write.state == write_state::sending) {
-    // Without a resend in between, a conflict can only be another's write;
-    // with one it may be our own that took effect. Reading back tells.
+    // A conflict is caused by another writer or, after a resend, by this
+    // writer's earlier attempt. Reading the object back shows which.
     const bool ok = answer.status == call_status::ok;
     write.state = ok ? write_state::applied : write_state::reading;
     if (ok) write.found = answer.found;
     return write;
   }
-  const bool ours = answer.status == call_status::ok &&
-                    remembers(answer.found, write.write_id);
-  write.state = ours ? write_state::applied : write_state::lost;
+  const bool is_own_write = answer.status == call_status::ok &&
+                            contains_write_id(answer.found, write.write_id);
+  write.state = is_own_write ? write_state::applied : write_state::lost;
   write.found = answer.found;
   return write;
 }
 
-bool settled(const document_write& write) {
+bool is_finished(const document_write& write) {
   return write.state == write_state::applied ||
          write.state == write_state::lost;
 }
--- a/src/domain-policy.cc
+++ b/src/domain-policy.cc
@@ -1,4 +1,4 @@
-// The ways to choose a fabric domain for a new replica.
+// The policies that choose a fabric domain for a new replica.
 #include <algorithm>
 #include <tuple>
 
@@ -32,19 +32,20 @@
   }
 };
 
-/// The most hosts of `free` that whole replicas of `sizes` can fill.
-int fillable(int free, const std::vector<int>& sizes) {
-  std::vector<int> most(static_cast<size_t>(free) + 1, 0);
+/// The largest number of hosts, at most `free`, that whole replicas of `sizes`
+/// can use.
+int max_filled_hosts(int free, const std::vector<int>& sizes) {
+  std::vector<int> max_filled(static_cast<size_t>(free) + 1, 0);
   for (int n = 1; n <= free; n++) {
     for (const int size : sizes) {
       if (size > 0 && size <= n) {
-        const auto rest = static_cast<size_t>(n - size);
-        most[static_cast<size_t>(n)] =
-            std::max(most[static_cast<size_t>(n)], most[rest] + size);
+        const auto remaining = static_cast<size_t>(n - size);
+        max_filled[static_cast<size_t>(n)] = std::max(
+            max_filled[static_cast<size_t>(n)], max_filled[remaining] + size);
       }
     }
   }
-  return most[static_cast<size_t>(free)];
+  return max_filled[static_cast<size_t>(free)];
 }
 
 class whole_replica_fit final : public domain_policy {
@@ -63,14 +64,15 @@
   }
 
  private:
-  // Hosts that the replica strands; then whether it takes the last spare of a
-  // larger group; then the fuller domain, which leaves the others whole for
-  // large replicas; then warm hosts passed over.
+  // Compared in this order: hosts that the replica makes unusable; whether it
+  // takes the last spare of a larger group; free hosts, so that the fuller
+  // domain is chosen and the others keep room for large replicas; warm hosts
+  // that are not used.
   std::tuple<int, bool, int, int> cost(const domain_supply& supply, int need,
                                        const std::vector<int>& sizes) const {
     const int free = static_cast<int>(supply.free_hosts.size());
-    const int before = free - fillable(free, sizes);
-    const int after = (free - need) - fillable(free - need, sizes);
+    const int before = free - max_filled_hosts(free, sizes);
+    const int after = (free - need) - max_filled_hosts(free - need, sizes);
     const bool last_spare = free == need && supply.largest_group > need;
     return {after - before, last_spare, free, -supply.warm};
   }
--- a/src/exchange.cc
+++ b/src/exchange.cc
@@ -1,4 +1,4 @@
-// The steps of one exchange with a backend server.
+// The steps of an attempt: connecting, sending, reading the response.
 #include "exchange.h"
 
 #include <algorithm>
@@ -14,20 +14,20 @@
 namespace http = boost::beast::http;
 using detail::use_tuple;
 
-/// Largest head of an answer, in bytes.
-constexpr uint32_t largest_head = 64 << 10;
+/// Largest response head, in bytes.
+constexpr uint32_t max_head_bytes = 64 << 10;
 
-/// A kept connection is not used in the last part of the time that its server
-/// keeps it, since the server's close may be on its way.
-constexpr absl::Duration keep_margin = absl::Milliseconds(700);
+/// A kept connection is not used in this last part of the server's keep-alive
+/// time, since the server may be closing it already.
+constexpr absl::Duration keep_alive_margin = absl::Milliseconds(700);
 
-/// How long a connection is kept if the server does not say.
-constexpr absl::Duration default_keep = absl::Seconds(2);
+/// How long a connection is kept if the server gives no keep-alive time.
+constexpr absl::Duration default_keep_alive = absl::Seconds(2);
 
-/// A connection is up in a few round trips; one that is not by then goes to a
-/// server that is down or has a full queue of connections. Early enough for
-/// another server to answer in time.
-constexpr absl::Duration connect_limit = absl::Milliseconds(80);
+/// A connection takes a few round trips. If it takes longer than this, the
+/// server is down or its accept queue is full. Short enough for another server
+/// to respond in time.
+constexpr absl::Duration connect_timeout = absl::Milliseconds(80);
 
 }  // namespace
 
@@ -45,49 +45,52 @@
   return "none";
 }
 
-exchange::exchange(node_context& state, request_place target, double prompt)
+exchange::exchange(node_context& state, endpoint_target target, double prompt)
     : node(state),
-      place(std::move(target)),
+      endpoint(std::move(target)),
       prompt_tokens(prompt),
       socket(state.loop) {
   this->node.exchanges.insert(this);
-  this->node.loads.begin(this->place.load_key(), prompt);
+  this->node.loads.begin(this->endpoint.load_key(), prompt);
 }
 
 exchange::~exchange() {
   this->node.exchanges.erase(this);
-  if (!this->writing) {
-    this->node.loads.read(this->place.load_key(), this->prompt_tokens);
+  if (!this->events_started) {
+    this->node.loads.finish_prefill(this->endpoint.load_key(),
+                                    this->prompt_tokens);
   }
-  this->node.loads.end(this->place.load_key());
+  this->node.loads.end(this->endpoint.load_key());
 }
 
 void exchange::abort(abort_cause cause) {
   if (this->aborted != abort_cause::none) return;
   this->aborted = cause;
-  detail::close_quietly(this->socket);
+  detail::close_ignoring_errors(this->socket);
 }
 
-void exchange::note_event() {
+void exchange::record_event() {
   this->last_event = this->node.now();
-  if (this->writing) return;
-  this->writing = true;
-  this->node.loads.read(this->place.load_key(), this->prompt_tokens);
+  if (this->events_started) return;
+  this->events_started = true;
+  this->node.loads.finish_prefill(this->endpoint.load_key(),
+                                  this->prompt_tokens);
 }
 
 net::awaitable<std::string> exchange::connect(bool reuse) {
   if (reuse) {
-    auto kept = this->node.pool.take(this->place.server, this->node.now());
+    auto kept = this->node.pool.take(this->endpoint.server, this->node.now());
     if (kept) {
       this->socket = std::move(*kept);
       this->reused = true;
       co_return "";
     }
   }
-  const absl::Time whole = this->limit;
-  this->limit = std::min(whole, this->node.now() + connect_limit);
-  const auto error = co_await connect_to(this->socket, this->place.address);
-  this->limit = whole;
+  const absl::Time attempt_deadline = this->deadline;
+  this->deadline =
+      std::min(attempt_deadline, this->node.now() + connect_timeout);
+  const auto error = co_await connect_to(this->socket, this->endpoint.address);
+  this->deadline = attempt_deadline;
   co_return error ? error.message() : std::string();
 }
 
@@ -100,7 +103,7 @@
 
 net::awaitable<std::string> exchange::read_head(bool no_body) {
   this->parser.emplace();
-  this->parser->header_limit(largest_head);
+  this->parser->header_limit(max_head_bytes);
   this->parser->body_limit(boost::none);
   this->parser->eager(true);
   this->parser->skip(no_body);
@@ -125,17 +128,18 @@
   co_return error ? error.message() : std::string();
 }
 
-void exchange::keep(const answer_head& answer) {
+void exchange::keep_connection(const answer_head& answer) {
   // Surplus bytes belong to no request.
   if (!this->parser->is_done() || !this->parser->keep_alive() ||
       this->buffer.size() != 0 || this->aborted != abort_cause::none) {
     return;
   }
-  const absl::Duration time =
-      answer.keep_alive ? *answer.keep_alive - keep_margin : default_keep;
+  const absl::Duration time = answer.keep_alive
+                                  ? *answer.keep_alive - keep_alive_margin
+                                  : default_keep_alive;
   if (time <= absl::ZeroDuration()) return;
-  this->node.pool.keep(this->place.server, std::move(this->socket),
-                       this->node.now() + std::min(time, default_keep));
+  this->node.pool.put(this->endpoint.server, std::move(this->socket),
+                      this->node.now() + std::min(time, default_keep_alive));
 }
 
 }  // namespace spokesail
--- a/src/group-controller.cc
+++ b/src/group-controller.cc
@@ -1,4 +1,4 @@
-// The controller's step, and what it learns from servers' answers.
+// The controller's step and its handling of servers' answers.
 #include "spokesail/group-controller.h"
 
 #include <absl/strings/str_cat.h>
@@ -10,20 +10,20 @@
 namespace spokesail {
 namespace {
 
-/// A server that refused an order is asked for its state after this long, and
-/// not at once: it may be busy with an earlier order.
-constexpr absl::Duration refused_wait = absl::Milliseconds(250);
+/// Delay before a server that refused an order is probed. It is not probed at
+/// once, since it may be busy with an earlier order.
+constexpr absl::Duration refused_probe_delay = absl::Milliseconds(250);
 
-/// A server that was busy with an order is asked again after this long: a
-/// small part of a load, and each question is priced.
-constexpr absl::Duration busy_wait = absl::Seconds(2);
+/// Interval at which a server that is busy with an order is probed. It is a
+/// small part of the time of a load, and each probe has a cost.
+constexpr absl::Duration busy_probe_delay = absl::Seconds(2);
 
-/// So many silent servers do not yet show that the holder itself is cut off,
-/// however small the fleet is.
-constexpr size_t few_silent = 2;
+/// Up to this number of unresponsive servers does not show that the holder
+/// itself is isolated, however small the fleet is.
+constexpr size_t max_ignored_unresponsive = 2;
 
-/// Period of the summary of models; frequent enough to see in a log why a
-/// group was missing when a request found no place.
+/// Period of the summary of models; short enough to see in a log why a group
+/// was missing when a request found none.
 constexpr absl::Duration summary_period = absl::Seconds(2);
 
 /// Whether a member in this phase has its model's weights in its engine.
@@ -32,24 +32,28 @@
          phase == member_phase::closing;
 }
 
-/// The servers of one data hall.
+/// Number of servers of one data hall.
 struct hall_count {
   int servers = 0;
-  int silent = 0;
+  int unresponsive = 0;
 };
 
-/// Whether a server's own word confirms what it was assumed to have become.
-bool confirms(const group_membership& said, const group_membership& assumed) {
+/// Whether a server's reported membership confirms or supersedes the assumed
+/// one.
+bool confirms(const group_membership& reported,
+              const group_membership& assumed) {
   if (assumed.phase == member_phase::none) {
-    return said.phase == member_phase::none || said.epoch > assumed.epoch;
+    return reported.phase == member_phase::none ||
+           reported.epoch > assumed.epoch;
   }
-  const bool same = said.group == assumed.group && said.epoch == assumed.epoch;
-  if (said.epoch > assumed.epoch) return true;
+  const bool same =
+      reported.group == assumed.group && reported.epoch == assumed.epoch;
+  if (reported.epoch > assumed.epoch) return true;
   return same && (assumed.phase == member_phase::joining ||
-                  said.phase != member_phase::ready);
+                  reported.phase != member_phase::ready);
 }
 
-/// What a server is a member of once it has carried `order` out.
+/// A server's membership after it has executed `order`.
 group_membership membership_after(const group_order& order) {
   group_membership after;
   after.group = order.group;
@@ -71,7 +75,7 @@
                                   const earlier_loads& before,
                                   const std::vector<model_share>& last_shares) {
   this->stop_term();
-  this->take_division(last_shares);
+  this->restore_allocation(last_shares);
   this->inherited = before;
   if (fence_number != this->epochs_fence) this->epochs = 0;
   this->epochs_fence = fence_number;
@@ -83,32 +87,32 @@
   this->tracks.clear();
   this->plans.clear();
   this->warmups.clear();
-  this->released.clear();
+  this->stopped_groups.clear();
   this->dissolving.clear();
   this->incomplete.clear();
   this->loads.clear();
   this->inherited.reset();
-  this->questions = question_window();
-  this->open_orders = question_window();
-  this->settlings.clear();
+  this->pending_probes = congestion_window();
+  this->pending_orders = congestion_window();
+  this->server_counts.clear();
   this->summarized.clear();
   this->demand.reset();
-  this->divisions.clear();
-  this->giving.clear();
-  this->lacking.clear();
+  this->allocations.clear();
+  this->reassigned_groups.clear();
+  this->lacking_since.clear();
 }
 
 void group_controller::suspect(const std::string& server, absl::Time now) {
   if (!this->active()) return;
   const auto found = this->tracks.find(server);
-  if (found == this->tracks.end() || found->second.silent) return;
+  if (found == this->tracks.end() || found->second.unresponsive) return;
   found->second.probe_at = std::min(found->second.probe_at, now);
 }
 
-void group_controller::on_order(const group_order& order, order_result result,
-                                absl::Time now) {
+void group_controller::on_order_result(const group_order& order,
+                                       order_result result, absl::Time now) {
   const bool answered = result != order_result::unknown;
-  this->open_orders.ended(order.server, answered, this->own_delay, now);
+  this->pending_orders.on_ended(order.server, answered, this->loop_delay, now);
   const auto found = this->tracks.find(order.server);
   if (found == this->tracks.end()) return;
   server_track& track = found->second;
@@ -118,74 +122,77 @@
     this->on_accepted(track, order, result, now);
     return;
   }
-  track.orders_taken.reset();
+  track.orders_started.reset();
   if (order.kind == group_order_kind::stage) track.staging_until = now;
-  const bool gone = result == order_result::unreachable ||
-                    result == order_result::other_server;
-  const bool ask_now = result == order_result::unknown || gone;
-  track.probe_at = now + (ask_now ? absl::ZeroDuration() : refused_wait);
+  const bool server_missing = result == order_result::unreachable ||
+                              result == order_result::other_server;
+  const bool probe_now = result == order_result::unknown || server_missing;
+  track.probe_at =
+      now + (probe_now ? absl::ZeroDuration() : refused_probe_delay);
 }
 
 void group_controller::on_accepted(server_track& track,
                                    const group_order& order,
                                    order_result result, absl::Time now) {
-  // A leave is done at once, so it is answered as done although it counts.
+  // A leave completes at once and is answered as done, but is counted.
   const bool counted =
       result == order_result::begun || order.kind == group_order_kind::leave;
-  if (counted) track.orders_taken = order.expected_orders + 1;
+  if (counted) track.orders_started = order.expected_orders + 1;
   if (order.kind == group_order_kind::stage) return;
   if (order.kind == group_order_kind::join) track.last_model = order.model;
-  if (order.kind == group_order_kind::leave && track.leads == order.group) {
-    this->released.insert(order.group);
+  if (order.kind == group_order_kind::leave &&
+      track.leaving_group == order.group) {
+    this->stopped_groups.insert(order.group);
   }
   track.assumed = membership_after(order);
-  track.assumed_until = now + this->options.assume_time;
+  track.assumed_until = now + this->options.assumption_ttl;
 }
 
 void group_controller::on_report(const std::string& server,
                                  const std::optional<server_report>& report,
                                  absl::Time now) {
-  // An answer to a question of an earlier term is as good as any.
-  this->questions.ended(server, report.has_value(), this->own_delay, now);
+  // An answer to a probe of an earlier term is just as valid.
+  this->pending_probes.on_ended(server, report.has_value(), this->loop_delay,
+                                now);
   const auto found = this->tracks.find(server);
   if (found == this->tracks.end()) return;
   server_track& track = found->second;
   if (!report) {
-    track.silent = true;
-    track.probe_at = now + this->options.retry_probe;
+    track.unresponsive = true;
+    track.probe_at = now + this->options.probe_retry_interval;
     return;
   }
   if (report->incarnation != 0 && report->incarnation < track.incarnation) {
-    // It was under way when the server started again.
+    // The report was sent before the server restarted.
     track.probe_at = now;
     return;
   }
   if (report->incarnation > track.incarnation)
-    this->take_restart(track, *report, now);
-  track.silent = false;
+    this->reset_after_restart(track, *report, now);
+  track.unresponsive = false;
   track.probe_at = absl::InfiniteFuture();
-  if (!track.pending) track.orders_taken = report->orders_taken;
+  if (!track.pending) track.orders_started = report->orders_started;
   track.order_running = report->order_running;
-  // It is asked again, since the end of a load that failed changes no entry.
-  if (track.order_running) track.probe_at = now + busy_wait;
+  // Probed again, since a load that fails does not change the entry.
+  if (track.order_running) track.probe_at = now + busy_probe_delay;
 }
 
-void group_controller::take_restart(server_track& track,
-                                    const server_report& report,
-                                    absl::Time now) {
-  const bool known_before = track.incarnation != 0;
-  if (known_before) track = server_track();
+void group_controller::reset_after_restart(server_track& track,
+                                           const server_report& report,
+                                           absl::Time now) {
+  const bool was_known = track.incarnation != 0;
+  if (was_known) track = server_track();
   track.incarnation = report.incarnation;
-  if (!known_before) return;
-  // Its entry may still be that of the earlier start.
+  if (!was_known) return;
+  // Its entry may still be that of the earlier incarnation.
   track.assumed = report.membership;
-  track.assumed_until = now + this->options.assume_time;
+  track.assumed_until = now + this->options.assumption_ttl;
 }
 
-std::vector<std::string> group_controller::silent_servers() const {
+std::vector<std::string> group_controller::unresponsive_servers() const {
   std::vector<std::string> out;
   for (const auto& [id, track] : this->tracks) {
-    if (track.silent) out.push_back(id);
+    if (track.unresponsive) out.push_back(id);
   }
   return out;
 }
@@ -193,7 +200,7 @@
 bool group_controller::usable(const server_entry& entry) const {
   const auto found = this->tracks.find(entry.id);
   return !entry.draining && found != this->tracks.end() &&
-         !found->second.silent;
+         !found->second.unresponsive;
 }
 
 bool group_controller::in_closed_hall(const service_state& s,
@@ -205,16 +212,16 @@
     const service_state& s, const std::vector<std::string>& members) const {
   if (this->closed_halls.empty()) return false;
   return std::any_of(members.begin(), members.end(), [&](const auto& id) {
-    return s.knows(id) && this->in_closed_hall(s.entry(id));
+    return s.has_server(id) && this->in_closed_hall(s.entry(id));
   });
 }
 
-void group_controller::take_directory(const server_directory& directory,
+void group_controller::sync_directory(const server_directory& directory,
                                       absl::Time now) {
   for (const auto& [id, server] : directory.servers()) {
     if (server.entry.domain.empty()) continue;
     server_track& track = this->tracks[id];
-    // A later start knows of no order and belongs to no group.
+    // A later incarnation has executed no orders and is in no group.
     if (server.entry.incarnation > track.incarnation) {
       if (track.incarnation != 0) track = server_track();
       track.incarnation = server.entry.incarnation;
@@ -223,16 +230,16 @@
                           confirms(server.entry.membership, *track.assumed))) {
       track.assumed.reset();
     }
-    // What an earlier holder had it run: it still holds those weights when it
-    // leaves, whatever lies on its host.
+    // A previous holder may have started it: after it leaves, its engine still
+    // holds those weights, whatever is staged on its host.
     if (runs_model(server.entry.membership.phase)) {
       track.last_model = group_model(server.entry.membership.group);
     }
     if (server.entry.draining) {
       track.leaving_since = std::min(track.leaving_since, now);
     }
-    // A load may take far less than it does at most.
-    if (staged_on(server.entry, track.staging))
+    // The load may have ended well before its upper bound.
+    if (staged_on(server.entry, track.staging_model))
       track.staging_until = std::min(track.staging_until, now);
   }
   std::erase_if(this->tracks, [&](const auto& item) {
@@ -240,24 +247,25 @@
   });
 }
 
-void group_controller::probe_silent(group_actions& out, absl::Time now) {
-  const auto ask_where = [&](const auto& wanted) {
+void group_controller::send_probes(group_actions& out, absl::Time now) {
+  const auto probe_where = [&](const auto& needed) {
     for (auto& [id, track] : this->tracks) {
-      if (!this->questions.open()) return;
-      if (this->questions.asks(id) || !wanted(track)) continue;
-      this->questions.sent(id);
-      out.reports.push_back(id);
+      if (!this->pending_probes.has_capacity()) return;
+      if (this->pending_probes.is_outstanding(id) || !needed(track)) continue;
+      this->pending_probes.on_sent(id);
+      out.report_requests.push_back(id);
     }
   };
-  // Whoever is in doubt comes before those that were never asked.
-  ask_where([&](const server_track& t) { return now >= t.probe_at; });
-  ask_where([&](const server_track& t) {
-    return !t.orders_taken && !t.pending &&
+  // Servers whose state is uncertain are probed before those that were never
+  // probed.
+  probe_where([&](const server_track& t) { return now >= t.probe_at; });
+  probe_where([&](const server_track& t) {
+    return !t.orders_started && !t.pending &&
            t.probe_at == absl::InfiniteFuture();
   });
 }
 
-group_controller::service_state group_controller::read_service(
+group_controller::service_state group_controller::build_service_state(
     const server_directory& directory, const backend_service& service) const {
   service_state s;
   s.service = service.name;
@@ -271,7 +279,8 @@
     const auto at = s.servers.emplace_hint(s.servers.end(), id, server);
     server_entry& entry = at->second.entry;
     if (track.assumed) entry.membership = *track.assumed;
-    if (!entry.draining && !track.silent && !this->in_closed_hall(entry)) {
+    if (!entry.draining && !track.unresponsive &&
+        !this->in_closed_hall(entry)) {
       s.usable_hosts[entry.domain]++;
     }
     s.index[at->first] = {&at->second, &track};
@@ -283,12 +292,12 @@
 bool group_controller::send(const server_entry& entry, group_order order,
                             group_actions& out) {
   server_track& track = this->tracks[entry.id];
-  if (track.pending || !track.orders_taken) return false;
-  if (!this->open_orders.open()) return false;
-  this->open_orders.sent(entry.id);
+  if (track.pending || !track.orders_started) return false;
+  if (!this->pending_orders.has_capacity()) return false;
+  this->pending_orders.on_sent(entry.id);
   order.server = entry.id;
   order.address = entry.address;
-  order.expected_orders = *track.orders_taken;
+  order.expected_orders = *track.orders_started;
   order.fence = this->fence;
   track.pending = order;
   out.orders.push_back(std::move(order));
@@ -303,83 +312,84 @@
   return by_server;
 }
 
-bool group_controller::cut_off(const server_directory& directory) const {
-  if (this->silent_servers().size() <= few_silent) return false;
-  // A data hall that is cut off from a sound holder is silent as a whole, so
-  // halls are counted rather than servers.
+bool group_controller::is_isolated(const server_directory& directory) const {
+  if (this->unresponsive_servers().size() <= max_ignored_unresponsive)
+    return false;
+  // If a data hall is isolated, all of its servers are unresponsive although
+  // the holder itself is not, so halls are counted rather than servers.
   std::map<std::string, hall_count> halls;
   for (const auto& [id, track] : this->tracks) {
     const server_entry* entry = directory.find(id);
     if (entry == nullptr) continue;
     hall_count& hall = halls[entry->hall];
     hall.servers++;
-    if (track.silent) hall.silent++;
+    if (track.unresponsive) hall.unresponsive++;
   }
-  const auto dark =
+  const auto isolated_halls =
       std::count_if(halls.begin(), halls.end(), [&](const auto& hall) {
-        const auto& [servers, silent] = hall.second;
-        return silent > this->options.cut_off_share * servers;
+        const auto& [servers, unresponsive] = hall.second;
+        return unresponsive > this->options.isolation_threshold * servers;
       });
-  return 2 * static_cast<size_t>(dark) > halls.size();
+  return 2 * static_cast<size_t>(isolated_halls) > halls.size();
 }
 
 group_actions group_controller::step(const server_directory& directory,
                                      const routing_config& config,
-                                     bool loads_count, absl::Time now) {
+                                     bool requests_seen, absl::Time now) {
   group_actions out;
   if (!this->active()) return out;
-  this->take_directory(directory, now);
-  this->probe_silent(out, now);
-  if (this->cut_off(directory)) {
-    out.notes.push_back({"controller_cut_off",
-                         absl::StrCat(this->silent_servers().size()),
-                         "too many servers do not answer"});
+  this->sync_directory(directory, now);
+  this->send_probes(out, now);
+  if (this->is_isolated(directory)) {
+    out.events.push_back({"controller_cut_off",
+                          absl::StrCat(this->unresponsive_servers().size()),
+                          "too many servers do not answer"});
     out.step_down = true;
     return out;
   }
   for (const auto& service : config.services) {
     if (!service.engine) continue;
-    this->run_service(directory, service, loads_count, now, out);
+    this->reconcile_service(directory, service, requests_seen, now, out);
   }
   return out;
 }
 
-void group_controller::run_service(const server_directory& directory,
-                                   const backend_service& service,
-                                   bool loads_count, absl::Time now,
-                                   group_actions& out) {
-  service_state s = this->read_service(directory, service);
-  std::set<std::string> standing;
+void group_controller::reconcile_service(const server_directory& directory,
+                                         const backend_service& service,
+                                         bool requests_seen, absl::Time now,
+                                         group_actions& out) {
+  service_state s = this->build_service_state(directory, service);
+  std::set<std::string> existing;
   for (const auto& group : s.groups) {
-    standing.insert(group.name);
+    existing.insert(group.name);
     if (this->warmups.count(group.name) != 0) {
       this->end_warmup(s, group, out);
       continue;
     }
-    this->judge_group(s, group, now, out);
+    this->reconcile_group(s, group, now, out);
   }
   for (const auto& [name, plan] : this->plans) {
-    if (standing.count(name) != 0 || plan.give_up_at <= now) continue;
+    if (existing.count(name) != 0 || plan.deadline <= now) continue;
     if (plan.service == s.service && !this->in_closed_hall(s, plan.members)) {
       s.group_count[plan.model]++;
     }
   }
   std::erase_if(this->plans, [&](const auto& item) {
-    return item.second.give_up_at <= now && standing.count(item.first) == 0;
+    return item.second.deadline <= now && existing.count(item.first) == 0;
   });
-  if (loads_count) this->divide(s, now, out);
+  if (requests_seen) this->update_allocation(s, now, out);
   s.spare_groups = this->spare_groups(s);
-  if (loads_count || this->settled(s, now)) {
-    this->form_groups(s, loads_count, now, out);
-    if (loads_count) this->give_way(s, now, out);
+  if (requests_seen || this->server_count_stable(s, now)) {
+    this->form_groups(s, requests_seen, now, out);
+    if (requests_seen) this->reassign_hosts(s, now, out);
     this->form_spare_groups(s, now, out);
   }
   this->send_joins(s, now, out);
-  if (loads_count || this->all_filled(s)) {
-    this->stage_spares(s, loads_count, now, out);
+  if (requests_seen || this->all_models_filled(s)) {
+    this->stage_spares(s, requests_seen, now, out);
   }
-  this->warm_spares(s, loads_count, now, out);
-  this->clear_memberships(s, out);
+  this->warm_spares(s, requests_seen, now, out);
+  this->clear_stale_memberships(s, out);
   this->summarize(s, now, out);
 }
 
@@ -404,7 +414,7 @@
     for (const auto& id : hosts) {
       const server_track& track = s.track(id);
       if (now < track.staging_until) {
-        models[track.staging].loading++;
+        models[track.staging_model].loading++;
         continue;
       }
       for (const auto& staged : s.entry(id).staged) models[staged].idle++;
--- a/src/group-formation.cc
+++ b/src/group-formation.cc
@@ -1,4 +1,4 @@
-// Chooses the hosts of new groups and tells them to join.
+// Selects the hosts of new groups and orders them to join.
 #include <absl/strings/str_cat.h>
 
 #include <algorithm>
@@ -10,36 +10,38 @@
 namespace spokesail {
 namespace {
 
-/// Epochs of one lease term; a term forms far fewer groups than this.
+/// Epochs reserved for each lease term; a term forms far fewer groups.
 constexpr int64_t epochs_per_term = 1000000;
 
-/// Time that a member of the last group of the same model takes to rejoin.
+/// Time in which a member of the last group of the same model rejoins.
 constexpr absl::Duration rejoin_time = absl::Milliseconds(200);
 
-/// Before there are requests, groups are formed once no server has come or
-/// gone for this long, so that all of them are there to choose from.
-constexpr absl::Duration settle_time = absl::Milliseconds(600);
+/// Before the first request, groups are formed once no server has been added or
+/// removed for this long, so that all servers are there to choose from.
+constexpr absl::Duration stable_time = absl::Milliseconds(600);
 
 }  // namespace
 
-bool group_controller::settled(const service_state& s, absl::Time now) {
-  settling& known = this->settlings[s.service];
-  if (s.servers.size() != known.servers) known = {s.servers.size(), now};
-  return now - known.since >= settle_time;
+bool group_controller::server_count_stable(const service_state& s,
+                                           absl::Time now) {
+  server_count_record& record = this->server_counts[s.service];
+  if (s.servers.size() != record.servers) record = {s.servers.size(), now};
+  return now - record.since >= stable_time;
 }
 
 bool group_controller::free_to_join(const service_state& s,
                                     const server_entry& entry) const {
   const server_track& track = s.track(entry.id);
-  if (entry.draining || track.silent || track.pending || !track.orders_taken) {
+  if (entry.draining || track.unresponsive || track.pending ||
+      !track.orders_started) {
     return false;
   }
-  if (this->questions.asks(entry.id)) return false;
-  if (s.index.at(entry.id).listed->lapses_at != absl::InfinitePast())
+  if (this->pending_probes.is_outstanding(entry.id)) return false;
+  if (s.index.at(entry.id).listed->expires_at != absl::InfinitePast())
     return false;
-  const group_membership& said = entry.membership;
-  return said.phase == member_phase::none ||
-         this->released.count(said.group) != 0;
+  const group_membership& membership = entry.membership;
+  return membership.phase == member_phase::none ||
+         this->stopped_groups.count(membership.group) != 0;
 }
 
 absl::Duration group_controller::join_time(const service_state& s,
@@ -49,7 +51,7 @@
   const server_track& track = s.track(server);
   if (this->last_ran(s, server, model)) return rejoin_time;
   if (staged_on(s.entry(server), model)) return model.staged_load;
-  if (track.staging == model.name && now < track.staging_until) {
+  if (track.staging_model == model.name && now < track.staging_until) {
     return track.staging_until - now + model.staged_load;
   }
   return model.cold_load;
@@ -58,9 +60,9 @@
 bool group_controller::last_ran(const service_state& s,
                                 const std::string& server,
                                 const model_profile& model) const {
-  const group_membership& said = s.entry(server).membership;
-  const bool member =
-      group_model(said.group) == model.name && said.phase != member_phase::none;
+  const group_membership& membership = s.entry(server).membership;
+  const bool member = group_model(membership.group) == model.name &&
+                      membership.phase != member_phase::none;
   return member || s.track(server).last_model == model.name;
 }
 
@@ -86,36 +88,38 @@
 
 double group_controller::wanted_groups(const service_state& s,
                                        const model_profile& model) const {
-  // Hosts by domain, since a spare helps only in its own.
-  double used = 0;
+  // Spares are counted by domain, since a spare only helps in its own.
+  double hosts = 0;
   for (const auto& [domain, count] : s.usable_hosts) {
-    used += count - std::ceil(count * this->options.spare_share);
+    hosts += count - std::ceil(count * this->options.spare_share);
   }
-  const auto found = this->divisions.find(s.service);
-  const double share = found == this->divisions.end()
+  const auto found = this->allocations.find(s.service);
+  const double share = found == this->allocations.end()
                            ? model.share
                            : found->second.shares.share(model);
-  return std::max(1.0, std::round(used * share / model.group_size));
+  return std::max(1.0, std::round(hosts * share / model.group_size));
 }
 
-double group_controller::fill_of(const service_state& s,
-                                 const model_profile& model) const {
+double group_controller::fill_ratio(const service_state& s,
+                                    const model_profile& model) const {
   const auto count = s.group_count.find(model.name);
   return (count == s.group_count.end() ? 0 : count->second) /
          this->wanted_groups(s, model);
 }
 
-bool group_controller::all_filled(const service_state& s) const {
+bool group_controller::all_models_filled(const service_state& s) const {
   return std::all_of(
       s.engine->models.begin(), s.engine->models.end(),
-      [&](const auto& model) { return this->fill_of(s, model) >= 1; });
+      [&](const auto& model) { return this->fill_ratio(s, model) >= 1; });
 }
 
-std::optional<group_controller::formation> group_controller::best_formation(
-    const service_state& s, const model_profile& model,
-    const hosts_by_domain& free, absl::Time now) const {
+std::optional<group_controller::group_candidate>
+group_controller::best_candidate(const service_state& s,
+                                 const model_profile& model,
+                                 const hosts_by_domain& free,
+                                 absl::Time now) const {
   const auto size = static_cast<size_t>(model.group_size);
-  std::optional<formation> best;
+  std::optional<group_candidate> best;
   for (const auto& [domain, ids] : free) {
     if (ids.size() < size) continue;
     std::vector<std::string> sorted = ids;
@@ -124,73 +128,76 @@
                        return this->join_time(s, a, model, now) <
                               this->join_time(s, b, model, now);
                      });
-    formation f;
-    f.model = &model;
-    f.domain = domain;
-    f.members.assign(sorted.begin(),
-                     sorted.begin() + static_cast<ptrdiff_t>(size));
-    f.left = ids.size() - size;
-    std::set<std::string> ended;
-    for (const auto& id : f.members) {
+    group_candidate candidate;
+    candidate.model = &model;
+    candidate.domain = domain;
+    candidate.members.assign(sorted.begin(),
+                             sorted.begin() + static_cast<ptrdiff_t>(size));
+    candidate.free_left = ids.size() - size;
+    std::set<std::string> dissolved;
+    for (const auto& id : candidate.members) {
       const absl::Duration time = this->join_time(s, id, model, now);
-      f.slowest = std::max(f.slowest, time);
-      if (this->needs_load(s, id, model)) f.loads++;
-      const group_membership& said = s.entry(id).membership;
-      if (said.phase != member_phase::none && this->stays(said.group)) {
-        ended.insert(said.group);
+      candidate.slowest = std::max(candidate.slowest, time);
+      if (this->needs_load(s, id, model)) candidate.loads++;
+      const group_membership& membership = s.entry(id).membership;
+      if (membership.phase != member_phase::none &&
+          this->remains(membership.group)) {
+        dissolved.insert(membership.group);
       }
     }
-    f.ended = static_cast<int>(ended.size());
-    const auto order = [](const formation& x) {
-      return std::tuple(x.loads, x.ended, x.slowest, -static_cast<int>(x.left));
+    candidate.dissolved = static_cast<int>(dissolved.size());
+    const auto order = [](const group_candidate& c) {
+      return std::tuple(c.loads, c.dissolved, c.slowest,
+                        -static_cast<int>(c.free_left));
     };
-    if (!best || order(f) < order(*best)) best = f;
+    if (!best || order(candidate) < order(*best)) best = candidate;
   }
   return best;
 }
 
 const model_profile* group_controller::next_model(
-    const service_state& s, const std::set<std::string>& passed_over,
-    bool loads_count) const {
-  // At first the largest groups are placed, since they fit into the fewest
-  // places; later the model that lacks most goes first.
+    const service_state& s, const std::set<std::string>& skipped,
+    bool requests_seen) const {
+  // Before the first request the largest groups go first, since they fit into
+  // the fewest domains; later the model with the lowest fill ratio goes first.
   const model_profile* next = nullptr;
-  double least = 1;
+  double lowest = 1;
   for (const auto& model : s.engine->models) {
-    const double fill = this->fill_of(s, model);
-    if (fill >= 1 || passed_over.count(model.name) != 0) continue;
+    const double fill = this->fill_ratio(s, model);
+    if (fill >= 1 || skipped.count(model.name) != 0) continue;
     const bool larger = next != nullptr && model.group_size > next->group_size;
     const bool better =
-        next == nullptr || (loads_count ? fill < least : larger);
+        next == nullptr || (requests_seen ? fill < lowest : larger);
     if (!better) continue;
     next = &model;
-    least = fill;
+    lowest = fill;
   }
   return next;
 }
 
-void group_controller::form_groups(service_state& s, bool loads_count,
+void group_controller::form_groups(service_state& s, bool requests_seen,
                                    absl::Time now, group_actions& out) {
   auto free = this->free_hosts(s);
-  std::set<std::string> passed_over;
+  std::set<std::string> skipped;
   while (const model_profile* model =
-             this->next_model(s, passed_over, loads_count)) {
-    const auto best = this->best_formation(s, *model, free, now);
-    const bool at_once = best && best->loads == 0;
-    if (loads_count && !at_once &&
-        this->take_back_spares(s, *model, free, now, out)) {
-      passed_over.insert(model->name);
+             this->next_model(s, skipped, requests_seen)) {
+    const auto best = this->best_candidate(s, *model, free, now);
+    const bool without_loads = best && best->loads == 0;
+    if (requests_seen && !without_loads &&
+        this->reclaim_spares(s, *model, free, now, out)) {
+      skipped.insert(model->name);
       continue;
     }
     if (!best) {
-      passed_over.insert(model->name);
+      skipped.insert(model->name);
       continue;
     }
-    // Before there are requests a load is quick and free. Later, hosts are
-    // staged first, so that they stay of use to any repair meanwhile.
-    if (loads_count && best->loads > 0) {
+    // Before the first request a load is quick and not limited. Later, the
+    // hosts stage the weights first, so that they stay available to any repair
+    // meanwhile.
+    if (requests_seen && best->loads > 0) {
       this->stage_for(s, *best, now, out);
-      passed_over.insert(model->name);
+      skipped.insert(model->name);
     } else {
       this->form_group(s, *model, best->members, now, out);
     }
@@ -217,9 +224,9 @@
   }
   const std::string name = group_name(model.name, epoch);
   this->plans[name] = {s.service, model.name, epoch, members,
-                       now + slowest + this->options.form_slack};
+                       now + slowest + this->options.formation_slack};
   s.group_count[model.name]++;
-  out.notes.push_back(
+  out.events.push_back(
       {"group_forming", name,
        absl::StrCat("expected in ", absl::FormatDuration(slowest))});
 }
@@ -228,7 +235,7 @@
                                 const group_plan& plan) const {
   return std::all_of(plan.members.begin(), plan.members.end(),
                      [&](const auto& id) {
-                       return s.knows(id) && this->may_join(s.entry(id));
+                       return s.has_server(id) && this->may_join(s.entry(id));
                      });
 }
 
@@ -237,10 +244,11 @@
   std::vector<std::string> failed;
   for (const auto& [name, plan] : this->plans) {
     if (plan.service != s.service) continue;
-    const bool sound = this->may_form(s, plan);
-    if (!sound) failed.push_back(name);
-    if (!sound || now >= plan.give_up_at) continue;
-    group_order join = order_about(group_order_kind::join, name, plan.epoch);
+    const bool may_proceed = this->may_form(s, plan);
+    if (!may_proceed) failed.push_back(name);
+    if (!may_proceed || now >= plan.deadline) continue;
+    group_order join =
+        make_group_order(group_order_kind::join, name, plan.epoch);
     join.model = plan.model;
     join.members = plan.members;
     for (const auto& id : plan.members) {
@@ -250,12 +258,12 @@
       this->send(entry, join, out);
     }
   }
-  // A group that some members joined already is dissolved by its own state.
+  // A group that some members have joined is dissolved by its own state.
   for (const auto& name : failed) {
-    const bool stands =
+    const bool exists =
         std::any_of(s.groups.begin(), s.groups.end(),
                     [&](const auto& group) { return group.name == name; });
-    if (!stands) this->plans.erase(name);
+    if (!exists) this->plans.erase(name);
   }
 }
 
--- a/src/lease.cc
+++ b/src/lease.cc
@@ -18,11 +18,11 @@
 
 namespace {
 
-/// Who holds a lease whose entry cannot be read. Somebody may, so that it has
-/// to run out like any other before it is taken over.
+/// Holder of a lease whose entry cannot be parsed. Somebody may hold it, so it
+/// has to expire like any other before it is taken over.
 constexpr char unknown_holder[] = "?";
 
-/// Nothing if the text is no lease's record.
+/// Nothing if the text is not a lease record.
 std::optional<lease_record> read_record(const std::string& body) {
   const json spec = json::parse(body, nullptr, false);
   if (!spec.is_object()) return std::nullopt;
@@ -41,22 +41,22 @@
 
 void lease::observe(const object& seen, absl::Time now, double random_unit) {
   if (this->known && seen.version <= this->base.version) return;
-  this->take_version(seen, now, random_unit);
+  this->adopt_version(seen, now, random_unit);
 }
 
-void lease::take_version(const object& seen, absl::Time now,
-                         double random_unit) {
-  const auto read = read_record(seen.body);
+void lease::adopt_version(const object& seen, absl::Time now,
+                          double random_unit) {
+  const auto parsed = read_record(seen.body);
   this->known = true;
   this->base = seen;
-  if (read) {
-    this->record = *read;
+  if (parsed) {
+    this->record = *parsed;
   } else {
-    // The fencing number that is known still counts.
+    // The fencing number known before remains in force.
     this->record.holder = unknown_holder;
   }
-  this->takeover_at = now + random_unit * this->timing.takeover_spread;
-  // A lease that was given up need not run out.
+  this->takeover_at = now + random_unit * this->timing.takeover_jitter;
+  // A released lease need not expire first.
   if (!this->record.holder.empty()) this->takeover_at += this->timing.duration;
   if (this->record.holder != this->self) {
     this->valid_until = absl::InfinitePast();
@@ -68,7 +68,7 @@
   if (this->known) return;
   this->known = true;
   this->base = object{{kinds::lease, this->key_name}, 0, {}, false};
-  this->takeover_at = now + random_unit * this->timing.takeover_spread;
+  this->takeover_at = now + random_unit * this->timing.takeover_jitter;
 }
 
 void lease::release() {
@@ -78,43 +78,44 @@
 
 std::optional<platform_call> lease::due(absl::Time now,
                                         const std::string& write_id) {
-  if (this->call_out || !this->known) return std::nullopt;
+  if (this->call_pending || !this->known) return std::nullopt;
   if (!this->write) {
-    const bool mine = this->record.holder == this->self && this->held(now);
-    const bool early = mine ? now < this->renew_at : now < this->takeover_at;
-    if (early && !this->releasing) return std::nullopt;
+    const bool is_holder = this->record.holder == this->self && this->held(now);
+    const bool too_early =
+        is_holder ? now < this->renew_at : now < this->takeover_at;
+    if (too_early && !this->releasing) return std::nullopt;
     lease_record next = this->record;
     next.holder = this->releasing ? "" : this->self;
     next.renewals++;
-    if (!mine && !this->releasing) next.fence++;
+    if (!is_holder && !this->releasing) next.fence++;
     this->write = make_write(this->base, json(next).dump(), write_id);
     this->write_sent = now;
   }
-  this->call_out = true;
+  this->call_pending = true;
   return next_call(*this->write);
 }
 
 void lease::on_answer(const platform_answer& answer, absl::Time now,
                       double random_unit) {
-  this->call_out = false;
+  this->call_pending = false;
   if (!this->write) return;
-  this->write = answered(*this->write, answer);
-  if (!settled(*this->write)) return;
+  this->write = apply_answer(*this->write, answer);
+  if (!is_finished(*this->write)) return;
   const bool applied = this->write->state == write_state::applied;
   const object found = this->write->found;
   this->write.reset();
   if (!applied) {
     this->valid_until = absl::InfinitePast();
     if (found.version > this->base.version) {
-      this->take_version(found, now, random_unit);
+      this->adopt_version(found, now, random_unit);
     }
     return;
   }
   if (found.version > this->base.version) {
-    this->take_version(found, now, random_unit);
+    this->adopt_version(found, now, random_unit);
   }
   if (this->releasing) {
-    // A renewal that was on its way comes first.
+    // If the applied write was a renewal sent before, the release follows.
     this->releasing = this->record.holder == this->self;
     return;
   }
@@ -122,7 +123,7 @@
   if (this->record.holder != this->self) return;
   this->valid_until =
       this->write_sent + this->timing.duration - this->timing.margin;
-  this->renew_at = this->write_sent + this->timing.renew_every;
+  this->renew_at = this->write_sent + this->timing.renew_period;
 }
 
 }  // namespace spokesail
--- a/src/membership.cc
+++ b/src/membership.cc
@@ -8,10 +8,10 @@
 namespace spokesail {
 namespace {
 
-/// Two clocks may drift apart by this much in a second.
-constexpr double drift = 0.0002;
+/// Assumed bound of the drift between two clocks, in seconds per second.
+constexpr double max_clock_drift = 0.0002;
 
-/// A member not heard of for this long is no longer known by name.
+/// A member that has sent nothing for this long gets no more heartbeats.
 constexpr absl::Duration forget_after = absl::Minutes(10);
 
 }  // namespace
@@ -19,7 +19,7 @@
 void clock_offset::learn(absl::Time sent, absl::Time peer) {
   absl::Duration widened = this->offset;
   if (this->known()) {
-    widened -= drift * (sent - this->last_learned);
+    widened -= max_clock_drift * (sent - this->last_learned);
   }
   this->offset = std::max(widened, sent - peer);
   this->last_learned = sent;
@@ -36,13 +36,13 @@
   this->addresses.try_emplace(peer_address, hall);
 }
 
-member& membership::touch(const member_info& info, uint64_t boot) {
+member& membership::update_member(const member_info& info, uint64_t boot) {
   member& m = this->members[info.name];
   if (m.boot != boot) {
     m = member{};
     m.boot = boot;
   }
-  // Brief messages carry the name alone.
+  // Short messages carry only the name.
   if (!info.peer_address.empty()) {
     m.info = info;
     this->addresses[info.peer_address] = info.hall;
@@ -50,20 +50,20 @@
   return m;
 }
 
-bool membership::knows(const member_info& from, uint64_t boot) const {
+bool membership::sender_known(const member_info& from, uint64_t boot) const {
   if (!from.peer_address.empty()) return true;
   const auto it = this->members.find(from.name);
   return it != this->members.end() && it->second.boot == boot;
 }
 
-bool membership::on_beat(const beat& b) {
-  if (b.from.name == this->self.name || !this->knows(b.from, b.boot)) {
+bool membership::on_heartbeat(const heartbeat& b) {
+  if (b.from.name == this->self.name || !this->sender_known(b.from, b.boot)) {
     return false;
   }
-  member& m = this->touch(b.from, b.boot);
+  member& m = this->update_member(b.from, b.boot);
   if (b.sequence <= m.sequence) return false;
   m.sequence = b.sequence;
-  m.heard_at = std::max(m.heard_at, m.clock.local(b.sent));
+  m.last_message_at = std::max(m.last_message_at, m.clock.local(b.sent));
   m.revision = b.revision;
   m.view_digest = b.view_digest;
   m.ready = b.ready;
@@ -72,18 +72,19 @@
   return true;
 }
 
-void membership::on_ack(const beat_ack& ack, absl::Time sent) {
+void membership::on_ack(const heartbeat_ack& ack, absl::Time sent) {
   if (ack.from.name == this->self.name) return;
-  if (!this->knows(ack.from, ack.boot)) {
-    // It started anew and knows nothing: the next beat tells it everything.
+  if (!this->sender_known(ack.from, ack.boot)) {
+    // The peer has restarted and knows nothing: the next heartbeat carries
+    // everything.
     const auto it = this->members.find(ack.from.name);
     if (it != this->members.end()) it->second.acked_epoch = -1;
     return;
   }
-  member& m = this->touch(ack.from, ack.boot);
-  m.heard_at = std::max(m.heard_at, sent);
+  member& m = this->update_member(ack.from, ack.boot);
+  m.last_message_at = std::max(m.last_message_at, sent);
   m.clock.learn(sent, ack.taken);
-  m.acked_epoch = ack.words_epoch;
+  m.acked_epoch = ack.observations_epoch;
   m.revision = std::max(m.revision, ack.revision);
   m.ready = ack.ready;
   m.stopping = ack.stopping;
@@ -91,7 +92,7 @@
 }
 
 bool membership::alive(const member& m, absl::Time now) const {
-  return now - m.heard_at <= this->window;
+  return now - m.last_message_at <= this->window;
 }
 
 std::vector<std::string> membership::alive_in_hall(absl::Time now) const {
@@ -113,14 +114,14 @@
   return found;
 }
 
-std::vector<std::string> membership::beat_addresses(absl::Time now) const {
+std::vector<std::string> membership::heartbeat_addresses(absl::Time now) const {
   std::vector<std::string> out;
   std::map<std::string, std::vector<std::string>> other_halls;
   for (const auto& [address, hall] : this->addresses) {
     const member* m = this->find_address(address);
-    const bool gone = m && now - m->heard_at > forget_after &&
-                      m->heard_at != absl::InfinitePast();
-    if (gone) continue;
+    const bool forgotten = m && now - m->last_message_at > forget_after &&
+                           m->last_message_at != absl::InfinitePast();
+    if (forgotten) continue;
     if (hall == this->self.hall) {
       out.push_back(address);
     } else {
@@ -128,18 +129,19 @@
     }
   }
   for (const auto& [hall, addresses] : other_halls) {
-    std::vector<std::string> alive_ones;
+    std::vector<std::string> alive_addresses;
     for (const auto& address : addresses) {
       const member* m = this->find_address(address);
       if (m && this->alive(*m, now) && !m->stopping) {
-        alive_ones.push_back(address);
+        alive_addresses.push_back(address);
       }
     }
-    // With nobody known to be alive every address is tried in turn.
-    const auto turn = std::to_string(absl::ToUnixSeconds(now) / 2);
-    const bool none = alive_ones.empty();
-    const auto key = none ? this->self.name + turn : this->self.name;
-    for (auto& a : rendezvous(key, none ? addresses : alive_ones, 1)) {
+    // If no node of the hall is known to be alive, its addresses are tried one
+    // after the other.
+    const auto rotation = std::to_string(absl::ToUnixSeconds(now) / 2);
+    const bool none = alive_addresses.empty();
+    const auto key = none ? this->self.name + rotation : this->self.name;
+    for (auto& a : rendezvous(key, none ? addresses : alive_addresses, 1)) {
       out.push_back(a);
     }
   }
--- a/src/node-beat.cc
+++ b/src/node-beat.cc
@@ -1,4 +1,4 @@
-// Beats among entry hosts, probes of backend servers, and what they tell.
+// Heartbeats between entry hosts, probes of backend servers, and their results.
 #include <algorithm>
 
 #include "detail/node-step.h"
@@ -28,18 +28,18 @@
   }
   for (const auto& [name, slot] : this->s.probes) {
     if (slots.count(name) != 0) continue;
-    this->s.presence.withdraw(self, name);
-    this->s.words_epoch++;
+    this->s.presence.remove_observation(self, name);
+    this->s.observations_epoch++;
   }
   this->s.probes = std::move(slots);
 }
 
 void node_step::send_probes() {
   for (auto& [name, slot] : this->s.probes) {
-    if (slot.out) continue;
+    if (slot.in_flight) continue;
     if (this->now < slot.sent + this->s.options.probe_period) continue;
     slot.sent = this->now;
-    slot.out = true;
+    slot.in_flight = true;
     const bool service = !this->s.hosts[name].service.empty();
     this->emit(probe_effect{name, slot.address, service});
   }
@@ -48,31 +48,33 @@
 void node_step::on(const probe_event& e) {
   const auto it = this->s.probes.find(e.host);
   if (it == this->s.probes.end() || it->second.address != e.address) return;
-  it->second.out = false;
+  it->second.in_flight = false;
   const std::string& self = this->s.options.self.name;
-  observation seen;
-  seen.reachable = e.reachable;
-  seen.report = e.report;
-  seen.load = e.load;
-  seen.at = e.sent;
+  observation observed;
+  observed.reachable = e.reachable;
+  observed.report = e.report;
+  observed.load = e.load;
+  observed.at = e.sent;
   if (e.reachable) {
     it->second.answered = e.sent;
-  } else if (const auto before = this->s.presence.word(self, e.host)) {
-    seen.report = before->report;
+  } else if (const auto previous =
+                 this->s.presence.observation_of(self, e.host)) {
+    observed.report = previous->report;
   }
-  if (!this->s.presence.observe(self, e.host, seen)) return;
-  this->s.words_epoch++;
-  this->s.beat_now = true;
+  if (!this->s.presence.observe(self, e.host, observed)) return;
+  this->s.observations_epoch++;
+  this->s.heartbeat_due = true;
   if (!e.reachable) this->log("host_unreachable", {{"host", e.host}});
-  this->note_open_groups();
-  this->send_beats();
+  this->update_open_groups();
+  this->send_heartbeats();
 }
 
 absl::Time node_step::probed_at() const {
   absl::Time oldest = this->now;
   for (const auto& [name, slot] : this->s.probes) {
-    const auto word = this->s.presence.word(this->s.options.self.name, name);
-    if (word && word->reachable) oldest = std::min(oldest, slot.answered);
+    const auto own =
+        this->s.presence.observation_of(this->s.options.self.name, name);
+    if (own && own->reachable) oldest = std::min(oldest, slot.answered);
   }
   return oldest;
 }
@@ -93,105 +95,106 @@
   return targets;
 }
 
-beat node_step::make_beat() {
-  beat b;
+heartbeat node_step::make_heartbeat() {
+  heartbeat b;
   b.from = this->s.options.self;
   b.boot = this->s.options.boot;
-  b.sequence = ++this->s.beat_sequence;
+  b.sequence = ++this->s.heartbeat_sequence;
   b.sent = this->now;
   b.revision = this->s.revision;
   b.view_digest = this->s.view.digest();
   b.ready = this->ready();
   b.stopping = this->s.stopping;
-  b.words_epoch = this->s.words_epoch;
+  b.observations_epoch = this->s.observations_epoch;
   b.probed_at = this->probed_at();
   b.open_models = this->open_targets();
   for (const auto& [name, slot] : this->s.probes) {
-    const auto word = this->s.presence.word(this->s.options.self.name, name);
-    if (!word) continue;
-    const absl::Time at = word->reachable ? word->at : word->unreachable_since;
-    b.words.push_back({name, word->reachable, at, word->report});
-    const bool loaded = word->load.running > 0 || word->load.queued > 0;
-    if (loaded) b.loads.push_back({name, word->load});
+    const auto own =
+        this->s.presence.observation_of(this->s.options.self.name, name);
+    if (!own) continue;
+    const absl::Time at = own->reachable ? own->at : own->unreachable_since;
+    b.observations.push_back({name, own->reachable, at, own->report});
+    const bool has_load = own->load.running > 0 || own->load.queued > 0;
+    if (has_load) b.loads.push_back({name, own->load});
   }
   return b;
 }
 
-void node_step::send_beats() {
-  this->s.beat_now = false;
-  beat full = this->make_beat();
-  full.has_words = true;
-  beat far = full;
-  far.has_words = false;
-  far.words.clear();
+void node_step::send_heartbeats() {
+  this->s.heartbeat_due = false;
+  heartbeat full = this->make_heartbeat();
+  full.has_observations = true;
+  heartbeat remote = full;
+  remote.has_observations = false;
+  remote.observations.clear();
   full.open_models.clear();
-  beat brief = far;
+  heartbeat brief = remote;
   brief.open_models.clear();
   brief.from = {full.from.name, "", "", ""};
-  for (const auto& address : this->s.members.beat_addresses(this->now)) {
+  for (const auto& address : this->s.members.heartbeat_addresses(this->now)) {
     const member* m = this->s.members.find_address(address);
-    const bool near = !m || m->info.hall == this->s.options.self.hall;
-    const bool knows = m && m->acked_epoch == full.words_epoch;
-    if (!near) {
-      this->emit(beat_effect{address, far});
+    const bool is_local = !m || m->info.hall == this->s.options.self.hall;
+    const bool up_to_date = m && m->acked_epoch == full.observations_epoch;
+    if (!is_local) {
+      this->emit(heartbeat_effect{address, remote});
     } else {
-      this->emit(beat_effect{address, knows ? brief : full});
+      this->emit(heartbeat_effect{address, up_to_date ? brief : full});
     }
   }
 }
 
-void node_step::take_words(const beat& b, member& m) {
-  if (b.has_words) {
-    // The words replace all that the prober said before, also what an earlier
-    // start of its process said.
-    this->s.presence.forget_prober(b.from.name);
-    bool all_taken = m.clock.known();
-    for (const auto& word : b.words) {
-      all_taken &= this->s.hosts.count(word.host) != 0;
-      if (!all_taken) break;
-      observation seen;
-      seen.reachable = word.reachable;
-      seen.report = word.report;
-      seen.at = m.clock.local(word.at);
-      this->s.presence.observe(b.from.name, word.host, seen);
+void node_step::apply_host_observations(const heartbeat& b, member& m) {
+  if (b.has_observations) {
+    // The observations replace all earlier ones of this prober, including those
+    // of an earlier start of its process.
+    this->s.presence.remove_prober(b.from.name);
+    bool all_applied = m.clock.known();
+    for (const auto& reported : b.observations) {
+      all_applied &= this->s.hosts.count(reported.host) != 0;
+      if (!all_applied) break;
+      observation observed;
+      observed.reachable = reported.reachable;
+      observed.report = reported.report;
+      observed.at = m.clock.local(reported.at);
+      this->s.presence.observe(b.from.name, reported.host, observed);
     }
-    // What could not be taken, for a host or a clock that this node has yet
-    // to hear of, is wanted again.
-    m.words_epoch = all_taken ? b.words_epoch : -1;
+    // If the node does not know a host or the peer's clock offset yet, it
+    // cannot apply the observations; epoch -1 makes the peer send them again.
+    m.observations_epoch = all_applied ? b.observations_epoch : -1;
   }
-  if (m.words_epoch == b.words_epoch) {
+  if (m.observations_epoch == b.observations_epoch) {
     std::map<std::string, host_load> loads;
     for (const auto& load : b.loads) loads[load.host] = load.load;
     this->s.presence.set_loads(b.from.name, loads);
     this->s.presence.refresh(b.from.name, m.clock.local(b.probed_at));
   }
-  this->note_open_groups();
+  this->update_open_groups();
 }
 
-void node_step::on(const beat_event& e) {
-  const beat& b = e.content;
-  const bool taken = this->s.members.on_beat(b);
+void node_step::on(const heartbeat_event& e) {
+  const heartbeat& b = e.content;
+  const bool accepted = this->s.members.on_heartbeat(b);
   member* m = this->s.members.find(b.from.name);
-  const bool near = m && m->info.hall == this->s.options.self.hall;
-  if (taken && near) this->take_words(b, *m);
-  beat_ack ack;
+  const bool is_local = m && m->info.hall == this->s.options.self.hall;
+  if (accepted && is_local) this->apply_host_observations(b, *m);
+  heartbeat_ack ack;
   ack.from = this->s.options.self;
-  if (near) ack.from = {ack.from.name, "", "", ""};
+  if (is_local) ack.from = {ack.from.name, "", "", ""};
   ack.boot = this->s.options.boot;
   ack.taken = this->now;
-  ack.words_epoch = taken && near ? m->words_epoch : -1;
+  ack.observations_epoch = accepted && is_local ? m->observations_epoch : -1;
   ack.revision = this->s.revision;
   ack.ready = this->ready();
   ack.stopping = this->s.stopping;
-  if (!near) ack.open_models = this->open_targets();
-  this->emit(beat_ack_effect{e.token, std::move(ack)});
+  if (!is_local) ack.open_models = this->open_targets();
+  this->emit(heartbeat_ack_effect{e.token, std::move(ack)});
 }
 
-void node_step::on(const beat_ack_event& e) {
+void node_step::on(const heartbeat_ack_event& e) {
   this->s.members.on_ack(e.content, e.sent);
 }
 
-void node_step::note_lost() {
+void node_step::update_lost_hosts() {
   for (const auto& [name, info] : this->s.hosts) {
     const bool present =
         this->s.presence
@@ -205,32 +208,34 @@
   }
 }
 
-void node_step::note_open_groups() {
+void node_step::update_open_groups() {
   std::map<std::string, bool> open_now;
   for (const auto& g : this->s.groups.groups) {
     const bool open = group_open(this->s, g, this->now);
     open_now[g.name] = open;
-    const auto before = this->s.open_before.find(g.name);
-    const bool was = before != this->s.open_before.end() && before->second;
-    if (open == was) continue;
+    const auto previous = this->s.was_open.find(g.name);
+    const bool previously_open =
+        previous != this->s.was_open.end() && previous->second;
+    if (open == previously_open) continue;
     this->log(open ? "group_open" : "group_closed",
               {{"group", g.name},
                {"incarnation", std::to_string(g.incarnation)},
                {"phase", phase_name(g.phase)}});
   }
-  this->s.open_before = std::move(open_now);
+  this->s.was_open = std::move(open_now);
 }
 
 void node_step::tick_members() {
   this->assign_probes();
   this->send_probes();
-  this->note_lost();
-  this->note_open_groups();
-  if (this->now < this->s.next_beat && !this->s.beat_now) return;
-  // A little jitter keeps the nodes from beating in step.
-  const double stretch = 0.9 + 0.2 * this->s.random.unit();
-  this->s.next_beat = this->now + stretch * this->s.options.beat_period;
-  this->send_beats();
+  this->update_lost_hosts();
+  this->update_open_groups();
+  if (this->now < this->s.next_heartbeat && !this->s.heartbeat_due) return;
+  // Jitter of 10% keeps the nodes from sending heartbeats at the same time.
+  const double jitter = 0.9 + 0.2 * this->s.random.unit();
+  this->s.next_heartbeat =
+      this->now + jitter * this->s.options.heartbeat_period;
+  this->send_heartbeats();
 }
 
 }  // namespace spokesail::detail
--- a/src/node-control.cc
+++ b/src/node-control.cc
@@ -1,4 +1,5 @@
-// The hall controller inside a node: what it sees, and what it asks for.
+// Runs the hall controller inside a node: builds its view and emits its calls
+// and orders.
 #include <algorithm>
 
 #include "detail/node-step.h"
@@ -14,9 +15,9 @@
     host.info = info;
     host.report = this->s.presence.present(name, this->now,
                                            this->s.options.presence_window);
-    if (const auto seen = this->s.presence.latest(name)) {
-      host.load = seen->load;
-      host.load_at = seen->at;
+    if (const auto observed = this->s.presence.latest(name)) {
+      host.load = observed->load;
+      host.load_at = observed->at;
     }
     const auto lost = this->s.lost_since.find(name);
     if (lost != this->s.lost_since.end()) host.lost_since = lost->second;
@@ -62,7 +63,7 @@
 void node_step::on(const platform_event& e) {
   controller& c = this->s.hall_controller;
   if (e.answer.status != call_status::unavailable) {
-    this->s.heard_platform = this->now;
+    this->s.last_platform_contact = this->now;
   }
   switch (e.owner) {
     case call_owner::lease:
@@ -79,13 +80,13 @@
       }
       break;
     case call_owner::poll:
-      this->s.poll_out = false;
+      this->s.poll_pending = false;
       break;
   }
 }
 
 void node_step::on(const order_event& e) {
-  this->s.hall_controller.on_order(e.host, e.status, this->now);
+  this->s.hall_controller.on_order_result(e.host, e.status, this->now);
 }
 
 }  // namespace spokesail::detail
--- a/src/node-gossip.cc
+++ b/src/node-gossip.cc
@@ -9,133 +9,142 @@
 
 namespace net = boost::asio;
 
-/// How often a node looks whether it has something to tell. A suspicion waits
-/// for this at most.
-constexpr absl::Duration look_period = absl::Milliseconds(25);
+/// Interval at which a node checks whether it has something to send. Bounds the
+/// delay of a suspicion.
+constexpr absl::Duration check_period = absl::Milliseconds(25);
 
-/// A node with nothing new to say still says it this often.
-constexpr absl::Duration longest_silence = absl::Milliseconds(500);
+/// Maximum time between two gossip messages, even if nothing has changed.
+constexpr absl::Duration max_gossip_interval = absl::Milliseconds(500);
 
-/// A node says this often what its callers ask for.
+/// Interval at which a node sends the demand of its callers.
 constexpr absl::Duration demand_period = absl::Seconds(1);
 
-/// Nodes of the store's list count as living until they were silent for some
-/// seconds; what a node counts earlier is no proof.
-constexpr absl::Duration count_settles = absl::Seconds(4);
+/// Time after the start during which the number of live nodes is not recorded:
+/// the nodes on the store's list count as alive until nothing was received from
+/// them for some seconds.
+constexpr absl::Duration node_count_settle_time = absl::Seconds(4);
 
-/// Suspicions are passed on for this long, and again after a while, since a
-/// datagram may be lost and the holder may change.
-constexpr absl::Duration suspect_time = absl::Milliseconds(1500);
-constexpr absl::Duration suspect_again = absl::Milliseconds(400);
+/// How long suspicions are sent, and the interval at which they are repeated: a
+/// datagram may be lost, and the holder may change.
+constexpr absl::Duration suspicion_lifetime = absl::Milliseconds(1500);
+constexpr absl::Duration suspicion_resend_interval = absl::Milliseconds(400);
 
 }  // namespace
 
-void node_gossip::take(const std::string& peer, const gossip& said) {
+void node_gossip::handle_gossip(const std::string& peer,
+                                const gossip& message) {
   const absl::Time now = this->node.now();
-  if (said.requests_seen) this->node.requests_seen = true;
-  if (said.holder) this->take_holder(*said.holder);
-  const bool near = this->link.hall_of(peer) == this->node.settings.hall;
-  if (near) {
-    this->node.loads.take_peer(peer, said.places, now);
+  if (message.requests_seen) this->node.requests_seen = true;
+  if (message.holder) this->apply_holder_state(*message.holder);
+  const bool is_local = this->link.hall_of(peer) == this->node.settings.hall;
+  if (is_local) {
+    this->node.loads.update_peer(peer, message.places, now);
     if (this->node.settings.policy.learn_speeds) {
-      this->node.speeds.take_peer(peer, said.speeds, now);
+      this->node.speeds.update_peer(peer, message.speeds, now);
     }
     if (this->node.settings.groups.follow_demand) {
-      this->node.demand.take_node(peer, this->node.settings.hall, said.demand,
-                                  now);
+      this->node.demand.update_node(peer, this->node.settings.hall,
+                                    message.demand, now);
     }
   } else {
-    this->far.take(peer, said, now);
+    this->remote.handle_gossip(peer, message, now);
   }
 }
 
-void node_gossip::take_relayed(const news& said) {
-  if (said.requests_seen) this->node.requests_seen = true;
-  if (said.holder) this->take_holder(*said.holder);
-  // Only answers tell of the other halls.
-  if (said.nonce == 0) return;
-  this->far.take_relayed(said.far_places, said.far_nodes, this->node.now());
+void node_gossip::apply_relayed(const store_update& update) {
+  if (update.requests_seen) this->node.requests_seen = true;
+  if (update.holder) this->apply_holder_state(*update.holder);
+  // Only responses carry the load of remote halls.
+  if (update.nonce == 0) return;
+  this->remote.apply_relayed(update.remote_places, update.remote_nodes,
+                             this->node.now());
 }
 
-void node_gossip::take_holder(const holder_word& said) {
-  const auto& known = this->node.holder_said;
-  if (known && !(said == *known) && !said.after(*known)) return;
-  this->node.holder_heard = this->node.now();
-  if (known && said == *known) return;
-  this->node.holder_said = said;
-  this->node.silent = {said.silent.begin(), said.silent.end()};
-  this->on_lease(said.lease);
+void node_gossip::apply_holder_state(const holder_state& state) {
+  const auto& last_state = this->node.last_holder_state;
+  if (last_state && !(state == *last_state) && !state.newer_than(*last_state))
+    return;
+  this->node.holder_heard_at = this->node.now();
+  if (last_state && state == *last_state) return;
+  this->node.last_holder_state = state;
+  this->node.unresponsive_servers = {state.unresponsive.begin(),
+                                     state.unresponsive.end()};
+  this->on_lease(state.lease);
 }
 
-std::optional<holder_word> node_gossip::holder_said() const {
-  const auto own = this->own_word();
-  return own ? own : this->node.holder_said;
+std::optional<holder_state> node_gossip::current_holder_state() const {
+  const auto own = this->own_holder_state();
+  return own ? own : this->node.last_holder_state;
 }
 
-void node_gossip::add_to(news& out) const {
+void node_gossip::fill_update(store_update& out) const {
   const absl::Time now = this->node.now();
-  out.holder = this->holder_said();
+  out.holder = this->current_holder_state();
   out.requests_seen = this->node.requests_seen;
   if (out.nonce == 0) return;
-  out.far_places = this->node.loads.hall_sum(true, now);
-  out.far_nodes = this->far.nodes(now);
+  out.remote_places = this->node.loads.hall_sum(true, now);
+  out.remote_nodes = this->remote.nodes(now);
 }
 
-gossip node_gossip::compose() const {
+gossip node_gossip::make_gossip() const {
   gossip out;
-  out.places = this->node.loads.own();
-  out.holder = this->own_word();
+  out.places = this->node.loads.own_loads();
+  out.holder = this->own_holder_state();
   out.requests_seen = this->node.requests_seen;
   return out;
 }
 
-void node_gossip::tell_near(gossip said, absl::Time now) {
-  const uint64_t begun = this->node.loads.begun();
-  const int peers = this->link.count_reachable(false);
-  if (!this->near_pace.due(begun, peers, now)) return;
-  this->near_pace.told(begun, peers, now);
-  said.speeds = this->node.speeds.told(now);
-  const bool tells_demand = this->node.settings.groups.follow_demand &&
-                            now - this->demand_sent >= demand_period;
-  const bool same = said == this->near_said;
-  if (!tells_demand && same && now - this->near_sent < longest_silence) return;
-  this->near_sent = now;
-  this->near_said = said;
-  if (tells_demand) {
+void node_gossip::send_local_gossip(gossip message, absl::Time now) {
+  const uint64_t requests_sent = this->node.loads.requests_begun();
+  const int peers = this->link.count_reachable_peers(false);
+  if (!this->local_pace.due(requests_sent, peers, now)) return;
+  this->local_pace.on_sent(requests_sent, peers, now);
+  message.speeds = this->node.speeds.reported(now);
+  const bool demand_due = this->node.settings.groups.follow_demand &&
+                          now - this->demand_sent >= demand_period;
+  const bool unchanged = message == this->last_local_gossip;
+  if (!demand_due && unchanged &&
+      now - this->local_gossip_sent_at < max_gossip_interval)
+    return;
+  this->local_gossip_sent_at = now;
+  this->last_local_gossip = message;
+  if (demand_due) {
     this->demand_sent = now;
-    said.demand = this->node.asked.rates(now);
+    message.demand = this->node.own_demand.rates(now);
   }
-  this->link.send_all(said, false);
+  this->link.send_all(message, false);
 }
 
-void node_gossip::tell_suspects(absl::Time now) {
-  auto& suspects = this->node.suspects;
-  std::erase_if(suspects, [&](const auto& item) {
-    return now - item.second >= suspect_time;
+void node_gossip::send_suspicions(absl::Time now) {
+  auto& suspected = this->node.suspected_servers;
+  std::erase_if(suspected, [&](const auto& item) {
+    return now - item.second >= suspicion_lifetime;
   });
-  const bool is_new = std::any_of(
-      suspects.begin(), suspects.end(),
-      [&](const auto& item) { return item.second >= this->suspects_sent; });
-  if (suspects.empty()) return;
-  if (!is_new && now - this->suspects_sent < suspect_again) return;
-  const std::string to = this->holder();
-  if (to.empty()) return;
-  this->suspects_sent = now;
-  suspicion said;
-  for (const auto& [id, at] : suspects) said.servers.push_back(id);
-  if (to != this->node.settings.node) {
-    this->link.send(to, said);
+  const bool has_new =
+      std::any_of(suspected.begin(), suspected.end(), [&](const auto& item) {
+        return item.second >= this->suspicions_sent_at;
+      });
+  if (suspected.empty()) return;
+  if (!has_new && now - this->suspicions_sent_at < suspicion_resend_interval)
+    return;
+  const std::string holder_name = this->holder();
+  if (holder_name.empty()) return;
+  this->suspicions_sent_at = now;
+  suspicion message;
+  for (const auto& [id, at] : suspected) message.servers.push_back(id);
+  if (holder_name != this->node.settings.node) {
+    this->link.send(holder_name, message);
     return;
   }
-  for (const auto& id : said.servers) this->on_suspect(id);
+  for (const auto& id : message.servers) this->on_suspect(id);
 }
 
 void node_gossip::log_speeds(absl::Time now) {
   for (const auto& [speed, age] : this->node.speeds.take_changes()) {
     const bool slow = speed.slowness > 1;
-    this->node.log.belief(
+    this->node.log.state_change(
         slow ? "group_slow" : "group_fast_again",
-        {{"place", speed.place},
+        {{"place", speed.endpoint},
          {"slowness", absl::StrCat(speed.slowness)},
          {"samples", absl::StrCat(speed.samples)},
          {"age_ms", age == absl::InfiniteDuration()
@@ -146,29 +155,31 @@
 }
 
 void node_gossip::count_nodes(absl::Time now) {
-  const auto near = static_cast<int>(this->link.live_near().size());
-  this->node.live_nodes = 1 + near + this->far.nodes(now);
-  // One that hears nobody of those it knows of may be cut off from them.
-  const bool alone = this->link.listed() && this->link.size() == 0;
-  const bool proved = this->node.live_nodes > 1 || alone;
-  if (!proved || now - this->node.started < count_settles) return;
-  this->node.fleet.note(this->node.live_nodes, now);
+  const auto local_nodes =
+      static_cast<int>(this->link.live_local_peers().size());
+  this->node.live_nodes = 1 + local_nodes + this->remote.nodes(now);
+  // A node that knows peers but receives nothing from any of them may be cut
+  // off; its count is then not recorded.
+  const bool no_peers = this->link.listed() && this->link.size() == 0;
+  const bool reliable = this->node.live_nodes > 1 || no_peers;
+  if (!reliable || now - this->node.started < node_count_settle_time) return;
+  this->node.fleet.record(this->node.live_nodes, now);
 }
 
 net::awaitable<void> node_gossip::run() {
-  absl::Time counted = absl::InfinitePast();
+  absl::Time last_count = absl::InfinitePast();
   for (;;) {
     const absl::Time now = this->node.now();
-    const gossip said = this->compose();
-    this->tell_near(said, now);
-    this->far.tell(said, now);
-    this->tell_suspects(now);
+    const gossip message = this->make_gossip();
+    this->send_local_gossip(message, now);
+    this->remote.send_due(message, now);
+    this->send_suspicions(now);
     this->log_speeds(now);
-    if (now - counted >= longest_silence) {
-      counted = now;
+    if (now - last_count >= max_gossip_interval) {
+      last_count = now;
       this->count_nodes(now);
     }
-    co_await this->node.sleep(look_period);
+    co_await this->node.sleep(check_period);
   }
 }
 
--- a/src/node-gossip.h
+++ b/src/node-gossip.h
@@ -1,5 +1,5 @@
-// What each node tells others: requests in flight, servers that fell silent,
-// and the word of the lease's holder.
+// Periodic messages between nodes: requests in flight, servers that do not
+// answer, and the lease holder's state.
 #pragma once
 
 #include <absl/time/time.h>
@@ -10,70 +10,73 @@
 #include <string>
 #include <vector>
 
-#include "far-gossip.h"
 #include "peer-link.h"
-#include "spokesail/tell-pace.h"
+#include "remote-gossip.h"
+#include "spokesail/gossip-pacer.h"
 
 namespace spokesail {
 
-/// Sends this node's gossip and takes that of the others.
+/// Sends this node's gossip and applies that of the other nodes.
 class node_gossip {
  public:
   node_gossip(node_context& node, peer_link& link)
-      : node(node), link(link), far(node, link) {}
+      : node(node), link(link), remote(node, link) {}
 
-  /// Sends what has changed, at a bounded rate, until the process ends.
+  /// Sends changes at a bounded rate until the process ends.
   boost::asio::awaitable<void> run();
 
-  void take(const std::string& peer, const gossip& said);
+  /// Applies a peer's gossip.
+  void handle_gossip(const std::string& peer, const gossip& message);
 
-  /// Takes what a relay passed on.
-  void take_relayed(const news& said);
+  /// Applies the parts of a relay's message that do not come from the store.
+  void apply_relayed(const store_update& update);
 
-  /// Takes the holder's word, unless a later one is known.
-  void take_holder(const holder_word& said);
+  /// Applies the holder's state unless a later one is known.
+  void apply_holder_state(const holder_state& state);
 
-  /// The holder's word: this node's own while it holds the lease, or the last
-  /// that it heard.
-  std::optional<holder_word> holder_said() const;
+  /// The holder's current state: this node's own while it holds the lease, or
+  /// the last one received.
+  std::optional<holder_state> current_holder_state() const;
 
-  /// Fills in what a relay passes on beside the news of the store.
-  void add_to(news& out) const;
+  /// Fills in the parts of a relay's message that do not come from the store.
+  void fill_update(store_update& out) const;
 
-  /// Nodes that could take the lease over, in order.
+  /// Nodes that could take over the lease, in order of preference.
   std::vector<std::string> lease_candidates() const {
-    return this->far.lease_candidates(this->node.now());
+    return this->remote.lease_candidates(this->node.now());
   }
 
-  /// What this node says as the holder of the lease; nothing if it is not.
-  std::function<std::optional<holder_word>()> own_word;
-  /// Name of the node that holds the lease; empty if unknown.
+  /// Returns the state that this node publishes as the lease holder; nullopt if
+  /// it is not the holder.
+  std::function<std::optional<holder_state>()> own_holder_state;
+  /// Returns the name of the lease holder; empty if unknown.
   std::function<std::string()> holder;
-  /// Called with the lease of a peer that holds it.
-  std::function<void(const lease_word&)> on_lease;
-  /// Called with a server that this node or a peer suspects.
+  /// Called with the lease as received from its holder.
+  std::function<void(const lease_snapshot&)> on_lease;
+  /// Called for each suspected server if this node holds the lease.
   std::function<void(const std::string&)> on_suspect;
 
  private:
-  void tell_near(gossip said, absl::Time now);
-  /// Tells the holder of servers that this node suspects.
-  void tell_suspects(absl::Time now);
-  gossip compose() const;
-  /// Counts the nodes that live, and those that may.
+  /// Sends gossip to the nodes of this data hall if it is due.
+  void send_local_gossip(gossip message, absl::Time now);
+  /// Sends the suspected servers to the lease holder.
+  void send_suspicions(absl::Time now);
+  gossip make_gossip() const;
+  /// Counts the live nodes, and records them for the upper bound.
   void count_nodes(absl::Time now);
-  /// Writes a line on each place that has become slow, or is fast again.
+  /// Logs each endpoint that has become slow or is fast again.
   void log_speeds(absl::Time now);
 
   node_context& node;
   peer_link& link;
-  far_gossip far;
-  /// The last message to this hall.
-  gossip near_said;
-  absl::Time near_sent = absl::InfinitePast();
-  tell_pace near_pace;
+  remote_gossip remote;
+  /// The last message sent to this data hall.
+  gossip last_local_gossip;
+  absl::Time local_gossip_sent_at = absl::InfinitePast();
+  gossip_pacer local_pace;
   absl::Time demand_sent = absl::InfinitePast();
-  /// When suspicions were last passed on.
-  absl::Time suspects_sent = absl::InfinitePast();
+  /// When suspicions were last sent.
+  absl::Time suspicions_sent_at = absl::InfinitePast();
 };
 
 }  // namespace spokesail
--- a/src/node-request.cc
+++ b/src/node-request.cc
@@ -1,4 +1,4 @@
-// Requests at a node: which places are open, and what their life leads to.
+// Requests at a node: their open targets, and the effects of their events.
 #include <algorithm>
 
 #include "detail/node-step.h"
@@ -6,12 +6,12 @@
 namespace spokesail::detail {
 namespace {
 
-/// A member may be out of sight for this long before the attempts that run
-/// at its group are given up.
-constexpr absl::Duration attempt_patience = absl::Seconds(1);
+/// Attempts that run at a group are abandoned after one of its members has been
+/// lost for this long.
+constexpr absl::Duration member_loss_grace = absl::Seconds(1);
 
-/// What callers are told when nothing better is known.
-constexpr absl::Duration default_reopen = absl::Seconds(10);
+/// Estimated time until a target opens, sent to refused callers.
+constexpr absl::Duration default_retry_after = absl::Seconds(10);
 
 int share_of(int capacity, size_t nodes) {
   const int n = std::max(static_cast<int>(nodes), 1);
@@ -24,28 +24,29 @@
   return this->s.config ? &*this->s.config : nullptr;
 }
 
-std::vector<open_place> node_step::open_places(
+std::vector<open_target> node_step::open_places(
     target_kind kind, const std::string& target) const {
-  std::vector<open_place> places;
-  if (!this->s.config) return places;
+  std::vector<open_target> targets;
+  if (!this->s.config) return targets;
   const size_t nodes = this->s.members.alive_in_hall(this->now).size();
   const auto add = [&](attempt_target t, const std::string& host,
                        int capacity) {
-    open_place place;
-    place.target = std::move(t);
-    place.capacity = capacity;
-    place.share = share_of(capacity, nodes);
-    const auto seen = this->s.presence.latest(host);
-    if (seen) place.reported = seen->load.running + seen->load.queued;
-    places.push_back(std::move(place));
+    open_target result;
+    result.target = std::move(t);
+    result.capacity = capacity;
+    result.share = share_of(capacity, nodes);
+    const auto observed = this->s.presence.latest(host);
+    if (observed)
+      result.reported = observed->load.running + observed->load.queued;
+    targets.push_back(std::move(result));
   };
   if (kind == target_kind::model) {
     const model_config* model = find_model(*this->s.config, target);
-    if (!model) return places;
+    if (!model) return targets;
     for (const auto& g : this->s.groups.groups) {
       if (g.model != target || !group_open(this->s, g, this->now)) continue;
-      const std::string& leader = g.hosts.front();
-      const auto host = this->s.hosts.find(leader);
+      const std::string& head = g.hosts.front();
+      const auto host = this->s.hosts.find(head);
       if (host == this->s.hosts.end()) continue;
       const bool leaving =
           std::any_of(g.hosts.begin(), g.hosts.end(), [&](const auto& name) {
@@ -53,13 +54,13 @@
             return it == this->s.hosts.end() || it->second.leaving;
           });
       if (leaving) continue;
-      add({g.name, host->second.address, g.incarnation, false}, leader,
+      add({g.name, host->second.address, g.incarnation, false}, head,
           model->max_concurrent);
     }
-    return places;
+    return targets;
   }
   const service_config* service = find_service(*this->s.config, target);
-  if (!service) return places;
+  if (!service) return targets;
   for (const auto& [name, info] : this->s.hosts) {
     if (info.service != target || info.leaving) continue;
     if (this->s.drained.count(name) != 0) continue;
@@ -69,11 +70,13 @@
     }
     add({name, info.address, 0, false}, name, service->max_concurrent);
   }
-  return places;
+  return targets;
 }
 
-bool node_step::holds(target_kind kind, const attempt_target& target) const {
-  // A plain service's broken connection tells all there is to know.
+bool node_step::can_complete(target_kind kind,
+                             const attempt_target& target) const {
+  // A plain service has no group members to check; a lost server shows as a
+  // broken connection.
   if (kind == target_kind::service) return true;
   for (const auto& g : this->s.groups.groups) {
     if (g.name != target.name) continue;
@@ -81,7 +84,7 @@
     return std::all_of(g.hosts.begin(), g.hosts.end(), [&](const auto& host) {
       const auto lost = this->s.lost_since.find(host);
       return lost == this->s.lost_since.end() ||
-             this->now - lost->second < attempt_patience;
+             this->now - lost->second < member_loss_grace;
     });
   }
   return false;
@@ -99,19 +102,19 @@
   return found;
 }
 
-absl::Duration node_step::reopen_guess(const std::string&) const {
-  return default_reopen;
+absl::Duration node_step::estimated_reopen(const std::string&) const {
+  return default_retry_after;
 }
 
 void node_step::emit_requests(request_actions& actions) {
   for (auto& attempt : actions.cancels) {
-    this->emit(cancel_effect{std::move(attempt)});
+    this->emit(cancel_attempt_effect{std::move(attempt)});
   }
   for (auto& start : actions.starts) {
-    this->emit(start_effect{std::move(start)});
+    this->emit(start_attempt_effect{std::move(start)});
   }
   for (auto& finish : actions.finishes) {
-    this->emit(finish_effect{finish.request, std::move(finish.result)});
+    this->emit(finish_request_effect{finish.request, std::move(finish.result)});
   }
 }
 
@@ -121,7 +124,7 @@
   this->emit_requests(actions);
 }
 
-void node_step::note_unreachable(const attempt_event& e) {
+void node_step::record_unreachable(const attempt_event& e) {
   const auto target = this->s.requests.where(e.request, e.attempt);
   if (!target || target->remote_hall) return;
   for (const auto& [name, info] : this->s.hosts) {
@@ -129,18 +132,18 @@
       this->s.presence.note_failure(name, this->now);
     }
   }
-  this->note_open_groups();
+  this->update_open_groups();
 }
 
 void node_step::on(const attempt_event& e) {
-  if (e.unreachable) this->note_unreachable(e);
+  if (e.unreachable) this->record_unreachable(e);
   request_actions actions;
   this->s.requests.attempt_ended(e.request, e.attempt, e.end, *this,
                                  this->s.random, this->now, actions);
   this->emit_requests(actions);
 }
 
-void node_step::on(const caller_gone_event& e) {
+void node_step::on(const caller_disconnected_event& e) {
   request_actions actions;
   this->s.requests.caller_gone(e.request, actions);
   this->emit_requests(actions);
@@ -150,7 +153,7 @@
   if (this->s.stopping) return;
   this->s.stopping = true;
   this->s.stop_at = this->now + this->s.options.stop_delay;
-  this->s.beat_now = true;
+  this->s.heartbeat_due = true;
   this->log("stopping", {});
 }
 
@@ -166,11 +169,11 @@
 bool node_step::ready() const {
   if (!this->s.config || this->s.stopping) return false;
   const absl::Duration age = this->now - this->s.started;
-  if (age < 2 * this->s.options.beat_period) return false;
+  if (age < 2 * this->s.options.heartbeat_period) return false;
   for (const auto& [name, m] : this->s.members.all()) {
     if (m.info.hall != this->s.options.self.hall) continue;
     const bool behind = m.revision > this->s.revision;
-    // Only a young node waits for its peers' revision.
+    // Only a node that started recently waits for its peers' revision.
     if (behind && age < this->s.options.member_window) return false;
   }
   return true;
--- a/src/node-status.cc
+++ b/src/node-status.cc
@@ -1,4 +1,4 @@
-// What a node tells operators: status as JSON, and gauges.
+// A node's status for operators: a JSON document and gauges.
 #include <nlohmann/json.hpp>
 
 #include "detail/node-step.h"
@@ -59,15 +59,16 @@
     for (const auto& host : g.hosts) {
       const auto report = this->s.presence.present(
           host, this->now, this->s.options.presence_window);
-      const bool here = report && report->group == g.name &&
-                        report->incarnation == g.incarnation;
+      const bool is_member = report && report->group == g.name &&
+                             report->incarnation == g.incarnation;
       std::string state = "absent";
-      if (report) state = here ? host_phase_name(report->phase) : "elsewhere";
+      if (report)
+        state = is_member ? host_phase_name(report->phase) : "elsewhere";
       one["hosts"].push_back({{"name", host}, {"state", state}});
     }
     out["groups"].push_back(std::move(one));
   }
-  this->emit(status_effect{e.token, out.dump()});
+  this->emit(status_reply_effect{e.token, out.dump()});
 }
 
 int node_step::stranded_accelerators() const {
@@ -89,7 +90,7 @@
   gauges_effect g;
   g.ready = this->ready();
   g.revision = this->s.revision;
-  for (const auto& [name, open] : this->s.open_before) g.open_groups += open;
+  for (const auto& [name, open] : this->s.was_open) g.open_groups += open;
   g.stranded_accelerators = this->stranded_accelerators();
   g.members = static_cast<int>(this->s.members.alive_in_hall(this->now).size());
   g.queued = static_cast<int>(this->s.requests.queued());
--- a/src/node-view.cc
+++ b/src/node-view.cc
@@ -1,4 +1,5 @@
-// Objects of the platform at a node: merging, passing on, taking into force.
+// Platform objects at a node: merges them, forwards them to peers and applies
+// them.
 #include <nlohmann/json.hpp>
 
 #include "detail/node-step.h"
@@ -9,10 +10,10 @@
 
 using json = nlohmann::json;
 
-/// A view that differs from a peer's for this long is mended by a pull.
-constexpr absl::Duration pull_after = absl::Milliseconds(300);
+/// A node pulls objects from a peer whose view has differed for this long.
+constexpr absl::Duration pull_delay = absl::Milliseconds(300);
 
-/// A bundle that does not come by itself is asked for this often.
+/// Interval at which a missing bundle is requested.
 constexpr absl::Duration bundle_retry = absl::Seconds(1);
 
 }  // namespace
@@ -31,16 +32,16 @@
 }
 
 void node_step::merge(const std::vector<object>& objects, bool from_platform) {
-  std::vector<object> news;
+  std::vector<object> changed;
   for (const auto& o : objects) {
     if (!this->relevant(o)) continue;
     if (!this->s.view.merge(o)) continue;
-    news.push_back(o);
+    changed.push_back(o);
     this->apply_object(o);
   }
-  if (news.empty() || !from_platform) return;
+  if (changed.empty() || !from_platform) return;
   for (const auto& address : this->hall_peer_addresses()) {
-    this->emit(push_effect{address, news});
+    this->emit(push_effect{address, changed});
   }
 }
 
@@ -78,7 +79,7 @@
   if (head.revision <= this->s.revision) return;
   const auto bundle = this->s.view.find({kinds::bundle, head.digest});
   if (!bundle) {
-    if (this->s.watching) this->ask_for_bundle();
+    if (this->s.watching) this->request_bundle();
     return;
   }
   const json body = json::parse(bundle->body, nullptr, false);
@@ -90,21 +91,21 @@
   this->s.config = body["bundle"].get<configuration>();
   this->s.revision = head.revision;
   this->s.config_digest = head.digest;
-  this->s.beat_now = true;
+  this->s.heartbeat_due = true;
   this->log("config_in_force", {{"revision", std::to_string(head.revision)},
                                 {"digest", head.digest},
                                 {"operator", head.operator_name}});
 }
 
-void node_step::ask_for_bundle() {
+void node_step::request_bundle() {
   const auto head_object = this->s.view.find({kinds::config, "head"});
   if (!head_object) return;
-  if (this->now < this->s.bundle_asked_at + bundle_retry) return;
+  if (this->now < this->s.bundle_requested_at + bundle_retry) return;
   const json spec = json::parse(head_object->body, nullptr, false);
   if (!spec.is_object()) return;
   const auto head = spec.get<config_head>();
   if (head.revision <= this->s.revision) return;
-  this->s.bundle_asked_at = this->now;
+  this->s.bundle_requested_at = this->now;
   this->emit(
       platform_effect{call_owner::bundle,
                       {call_kind::read, {kinds::bundle, head.digest}, 0, {}}});
@@ -122,7 +123,7 @@
   }
   std::vector<std::string> names;
   for (const auto& [host, info] : this->s.hosts) names.push_back(host);
-  this->s.presence.keep_only(names);
+  this->s.presence.retain_hosts(names);
   this->assign_probes();
 }
 
@@ -134,24 +135,24 @@
     this->s.groups = spec.get<placement>();
   }
   this->s.placement_version = o.version;
-  this->note_open_groups();
+  this->update_open_groups();
 }
 
 void node_step::on(const object_event& e) {
-  this->s.heard_platform = this->now;
-  if (e.seen.key.kind == kinds::lease) {
-    if (e.seen.key.name == this->s.options.self.hall) {
-      this->s.hall_controller.hall_lease().observe(e.seen, this->now,
+  this->s.last_platform_contact = this->now;
+  if (e.updated_object.key.kind == kinds::lease) {
+    if (e.updated_object.key.name == this->s.options.self.hall) {
+      this->s.hall_controller.hall_lease().observe(e.updated_object, this->now,
                                                    this->s.random.unit());
     }
     return;
   }
-  this->merge({e.seen}, true);
+  this->merge({e.updated_object}, true);
 }
 
 void node_step::on(const list_event& e) {
-  this->s.heard_platform = this->now;
-  this->s.poll_out = false;
+  this->s.last_platform_contact = this->now;
+  this->s.poll_pending = false;
   if (e.kind == kinds::lease) {
     bool found = false;
     for (const auto& o : e.objects) {
@@ -163,11 +164,11 @@
     return;
   }
   this->merge(e.objects, true);
-  const auto gone = this->s.view.retain(e.kind, e.objects, e.version);
-  for (const auto& mark : gone) this->apply_object(mark);
-  if (gone.empty()) return;
+  const auto removed = this->s.view.retain(e.kind, e.objects, e.version);
+  for (const auto& tombstone : removed) this->apply_object(tombstone);
+  if (removed.empty()) return;
   for (const auto& address : this->hall_peer_addresses()) {
-    this->emit(push_effect{address, gone});
+    this->emit(push_effect{address, removed});
   }
 }
 
@@ -180,30 +181,31 @@
 }
 
 void node_step::tick_view() {
-  const auto chosen = this->watchers();
-  const bool is_watcher = std::find(chosen.begin(), chosen.end(),
-                                    this->s.options.self.name) != chosen.end();
+  const auto selected = this->watchers();
+  const bool is_watcher =
+      std::find(selected.begin(), selected.end(), this->s.options.self.name) !=
+      selected.end();
   const bool watch = is_watcher || this->s.hall_controller.leads(this->now);
   if (watch != this->s.watching) {
     this->s.watching = watch;
     this->emit(watch_effect{watch});
     this->log("watching", {{"enabled", watch ? "true" : "false"}});
   }
-  this->ask_for_bundle();
-  bool watcher_heard = false;
-  for (const auto& name : chosen) {
-    watcher_heard |= name != this->s.options.self.name;
-  }
-  if (watcher_heard && !watch) this->s.heard_platform = this->now;
-  const bool quiet =
-      this->now - this->s.heard_platform > this->s.options.poll_after;
-  if (quiet && !watch && !this->s.poll_out) {
-    this->s.poll_out = true;
-    this->s.heard_platform = this->now;
+  this->request_bundle();
+  bool has_other_watcher = false;
+  for (const auto& name : selected) {
+    has_other_watcher |= name != this->s.options.self.name;
+  }
+  if (has_other_watcher && !watch) this->s.last_platform_contact = this->now;
+  const bool no_contact =
+      this->now - this->s.last_platform_contact > this->s.options.poll_after;
+  if (no_contact && !watch && !this->s.poll_pending) {
+    this->s.poll_pending = true;
+    this->s.last_platform_contact = this->now;
     this->emit(poll_effect{});
   }
-  for (const auto& [name, known] : this->s.members.all()) {
-    if (known.info.hall != this->s.options.self.hall) continue;
+  for (const auto& [name, entry] : this->s.members.all()) {
+    if (entry.info.hall != this->s.options.self.hall) continue;
     member& m = *this->s.members.find(name);
     const bool same = m.view_digest == this->s.view.digest() ||
                       !this->s.members.alive(m, this->now);
@@ -211,7 +213,7 @@
       m.differs_since = absl::InfiniteFuture();
     } else if (m.differs_since == absl::InfiniteFuture()) {
       m.differs_since = this->now;
-    } else if (this->now - m.differs_since > pull_after) {
+    } else if (this->now - m.differs_since > pull_delay) {
       m.differs_since = this->now;
       this->emit(pull_effect{m.info.peer_address, this->s.view.stamps()});
     }
--- a/src/peer-codec.cc
+++ b/src/peer-codec.cc
@@ -7,7 +7,7 @@
 
 using text_list = capnp::List<capnp::Text>;
 
-unsigned count_of(size_t size) { return static_cast<unsigned>(size); }
+unsigned list_size(size_t size) { return static_cast<unsigned>(size); }
 
 void write_member(rpc::Member::Builder out, const member_info& m) {
   out.setName(m.name);
@@ -30,42 +30,43 @@
   return out;
 }
 
-void write_word(rpc::HostWord::Builder out, const host_word& word) {
-  out.setHost(word.host);
-  out.setReachable(word.reachable);
-  out.setAt(absl::ToUnixNanos(word.at));
-  out.setGroup(word.report.group);
-  out.setIncarnation(word.report.incarnation);
-  out.setPhase(static_cast<uint8_t>(word.report.phase));
-  out.setModel(word.report.model);
-  out.setVersion(word.report.version);
-  const auto& adapters = word.report.adapters;
-  write_texts(out.initAdapters(count_of(adapters.size())), adapters);
-  out.setFence(word.report.fence);
-  out.setBoot(word.report.boot);
+void write_host_observation(rpc::HostWord::Builder out,
+                            const host_observation& observation) {
+  out.setHost(observation.host);
+  out.setReachable(observation.reachable);
+  out.setAt(absl::ToUnixNanos(observation.at));
+  out.setGroup(observation.report.group);
+  out.setIncarnation(observation.report.incarnation);
+  out.setPhase(static_cast<uint8_t>(observation.report.phase));
+  out.setModel(observation.report.model);
+  out.setVersion(observation.report.version);
+  const auto& adapters = observation.report.adapters;
+  write_texts(out.initAdapters(list_size(adapters.size())), adapters);
+  out.setFence(observation.report.fence);
+  out.setBoot(observation.report.boot);
 }
 
-host_word read_word(rpc::HostWord::Reader in) {
-  host_word word;
-  word.host = in.getHost();
-  word.reachable = in.getReachable();
-  word.at = absl::FromUnixNanos(in.getAt());
-  word.report.group = in.getGroup();
-  word.report.incarnation = in.getIncarnation();
+host_observation read_host_observation(rpc::HostWord::Reader in) {
+  host_observation observation;
+  observation.host = in.getHost();
+  observation.reachable = in.getReachable();
+  observation.at = absl::FromUnixNanos(in.getAt());
+  observation.report.group = in.getGroup();
+  observation.report.incarnation = in.getIncarnation();
   const int phase =
       std::min<int>(in.getPhase(), static_cast<int>(host_phase::ready));
-  word.report.phase = static_cast<host_phase>(phase);
-  word.report.model = in.getModel();
-  word.report.version = in.getVersion();
-  word.report.adapters = read_texts(in.getAdapters());
-  word.report.fence = in.getFence();
-  word.report.boot = in.getBoot();
-  return word;
+  observation.report.phase = static_cast<host_phase>(phase);
+  observation.report.model = in.getModel();
+  observation.report.version = in.getVersion();
+  observation.report.adapters = read_texts(in.getAdapters());
+  observation.report.fence = in.getFence();
+  observation.report.boot = in.getBoot();
+  return observation;
 }
 
 }  // namespace
 
-void write_beat(rpc::Beat::Builder out, const beat& b) {
+void write_heartbeat(rpc::Beat::Builder out, const heartbeat& b) {
   write_member(out.initFrom(), b.from);
   out.setBoot(b.boot);
   out.setSequence(b.sequence);
@@ -74,23 +75,24 @@
   out.setViewDigest(b.view_digest);
   out.setReady(b.ready);
   out.setStopping(b.stopping);
-  out.setWordsEpoch(b.words_epoch);
+  out.setWordsEpoch(b.observations_epoch);
   out.setProbedAt(absl::ToUnixNanos(b.probed_at));
-  out.setHasWords(b.has_words);
-  auto words = out.initWords(count_of(b.words.size()));
-  for (unsigned i = 0; i < words.size(); i++) write_word(words[i], b.words[i]);
-  auto loads = out.initLoads(count_of(b.loads.size()));
+  out.setHasWords(b.has_observations);
+  auto observations = out.initWords(list_size(b.observations.size()));
+  for (unsigned i = 0; i < observations.size(); i++)
+    write_host_observation(observations[i], b.observations[i]);
+  auto loads = out.initLoads(list_size(b.loads.size()));
   for (unsigned i = 0; i < loads.size(); i++) {
     loads[i].setHost(b.loads[i].host);
     loads[i].setRunning(static_cast<uint32_t>(b.loads[i].load.running));
     loads[i].setQueued(static_cast<uint32_t>(b.loads[i].load.queued));
   }
-  write_texts(out.initOpenModels(count_of(b.open_models.size())),
+  write_texts(out.initOpenModels(list_size(b.open_models.size())),
               b.open_models);
 }
 
-beat read_beat(rpc::Beat::Reader in) {
-  beat b;
+heartbeat read_heartbeat(rpc::Beat::Reader in) {
+  heartbeat b;
   b.from = read_member(in.getFrom());
   b.boot = in.getBoot();
   b.sequence = in.getSequence();
@@ -99,10 +101,11 @@
   b.view_digest = in.getViewDigest();
   b.ready = in.getReady();
   b.stopping = in.getStopping();
-  b.words_epoch = in.getWordsEpoch();
+  b.observations_epoch = in.getWordsEpoch();
   b.probed_at = absl::FromUnixNanos(in.getProbedAt());
-  b.has_words = in.getHasWords();
-  for (const auto word : in.getWords()) b.words.push_back(read_word(word));
+  b.has_observations = in.getHasWords();
+  for (const auto observation : in.getWords())
+    b.observations.push_back(read_host_observation(observation));
   for (const auto load : in.getLoads()) {
     b.loads.push_back({load.getHost(),
                        {static_cast<int>(load.getRunning()),
@@ -112,24 +115,24 @@
   return b;
 }
 
-void write_ack(rpc::BeatAck::Builder out, const beat_ack& ack) {
+void write_ack(rpc::BeatAck::Builder out, const heartbeat_ack& ack) {
   write_member(out.initFrom(), ack.from);
   out.setBoot(ack.boot);
   out.setTaken(absl::ToUnixNanos(ack.taken));
-  out.setWordsEpoch(ack.words_epoch);
+  out.setWordsEpoch(ack.observations_epoch);
   out.setRevision(ack.revision);
   out.setReady(ack.ready);
   out.setStopping(ack.stopping);
-  write_texts(out.initOpenModels(count_of(ack.open_models.size())),
+  write_texts(out.initOpenModels(list_size(ack.open_models.size())),
               ack.open_models);
 }
 
-beat_ack read_ack(rpc::BeatAck::Reader in) {
-  beat_ack ack;
+heartbeat_ack read_ack(rpc::BeatAck::Reader in) {
+  heartbeat_ack ack;
   ack.from = read_member(in.getFrom());
   ack.boot = in.getBoot();
   ack.taken = absl::FromUnixNanos(in.getTaken());
-  ack.words_epoch = in.getWordsEpoch();
+  ack.observations_epoch = in.getWordsEpoch();
   ack.revision = in.getRevision();
   ack.ready = in.getReady();
   ack.stopping = in.getStopping();
--- a/src/config-share.cc
+++ b/src/peer-config-service.cc
@@ -1,5 +1,5 @@
-// Reads of a peer's configuration over HTTP.
-#include "config-share.h"
+// Transfers the configuration between nodes over HTTP.
+#include "peer-config-service.h"
 
 #include <absl/strings/numbers.h>
 #include <absl/strings/str_cat.h>
@@ -27,80 +27,82 @@
 constexpr char config_path[] = "/configuration";
 constexpr char revision_header[] = "Revision";
 
-/// A configuration of 100 KB takes eight peers on a link of 20 Mbit/s together
-/// a third of a second.
-constexpr absl::Duration read_limit = absl::Milliseconds(700);
+/// Timeout of one transfer. Eight peers that read a configuration of 100 KB
+/// over a shared link of 20 Mbit/s take a third of a second.
+constexpr absl::Duration transfer_timeout = absl::Milliseconds(700);
 
-/// Pause after a connection could not be accepted, for want of descriptors.
-constexpr absl::Duration accept_pause = absl::Milliseconds(20);
+/// Delay after a connection could not be accepted for lack of file descriptors.
+constexpr absl::Duration accept_retry_delay = absl::Milliseconds(20);
 
 }  // namespace
 
-bool config_share::listen() {
+bool peer_config_service::listen() {
   return open_listener(this->acceptor, this->node.settings.peer_address,
                        this->node);
 }
 
-net::awaitable<void> config_share::serve() {
+net::awaitable<void> peer_config_service::serve() {
   for (;;) {
     auto [error, socket] = co_await this->acceptor.async_accept(use_tuple);
     if (error == net::error::operation_aborted) co_return;
     if (error) {
-      this->node.log.belief("accept_failed", {{"why", error.message()}},
-                            this->node.now());
-      co_await this->node.sleep(accept_pause);
+      this->node.log.state_change("accept_failed", {{"why", error.message()}},
+                                  this->node.now());
+      co_await this->node.sleep(accept_retry_delay);
       continue;
     }
-    auto shared = std::make_shared<tcp::socket>(std::move(socket));
-    net::co_spawn(this->node.loop, this->answer(shared), net::detached);
+    auto connection = std::make_shared<tcp::socket>(std::move(socket));
+    net::co_spawn(this->node.loop, this->answer(connection), net::detached);
   }
 }
 
-net::awaitable<void> config_share::answer(std::shared_ptr<tcp::socket> socket) {
-  // A connection that falls silent must not stay open for good.
-  const detail::socket_deadline deadline(socket, read_limit);
+net::awaitable<void> peer_config_service::answer(
+    std::shared_ptr<tcp::socket> socket) {
+  // Closes connections that stall, which would otherwise stay open forever.
+  const detail::socket_deadline deadline(socket, transfer_timeout);
   boost::beast::flat_buffer buffer;
   http_request request;
   auto [error, size] =
       co_await http::async_read(*socket, buffer, request, use_tuple);
   if (error) co_return;
   http_response response(http::status::not_found, http_11);
-  const auto held = this->node.config_object;
-  if (held && request.target() == config_path) {
+  const auto config = this->node.config_object;
+  if (config && request.target() == config_path) {
     response.result(http::status::ok);
-    response.set(revision_header, absl::StrCat(held->version));
-    response.body() = held->body;
+    response.set(revision_header, absl::StrCat(config->version));
+    response.body() = config->body;
   }
   response.keep_alive(false);
   response.prepare_payload();
   auto [failed, sent] =
       co_await http::async_write(*socket, response, use_tuple);
   if (!failed) co_return;
-  this->node.log.belief(
+  this->node.log.state_change(
       "peer_not_told",
       {{"kind", this->node.adapter.kinds().config}, {"why", failed.message()}},
       this->node.now());
 }
 
-net::awaitable<object_listing> config_share::read_from(std::string address) {
+net::awaitable<object_listing> peer_config_service::fetch_from(
+    std::string address) {
   object_listing out;
   http_request request(http::verb::get, config_path, http_11);
   const fetch_result result = co_await this->node.fetcher.fetch(
-      std::move(address), std::move(request), read_limit);
+      std::move(address), std::move(request), transfer_timeout);
   const bool ok = result.status == fetch_status::ok &&
                   result.response.result() == http::status::ok;
-  object found;
-  const std::string number(result.response[revision_header]);
-  const bool numbered = ok && absl::SimpleAtoi(number, &found.version);
-  if (!numbered) {
+  object config;
+  const std::string revision(result.response[revision_header]);
+  const bool valid = ok && absl::SimpleAtoi(revision, &config.version);
+  if (!valid) {
     out.error = result.error;
     co_return out;
   }
   const auto& kinds = this->node.adapter.kinds();
-  found.key = {kinds.config, kinds.config_name};
-  found.body = result.response.body();
-  out.revision = found.version;
-  out.objects.push_back(std::move(found));
+  config.key = {kinds.config, kinds.config_name};
+  config.body = result.response.body();
+  out.revision = config.version;
+  out.objects.push_back(std::move(config));
   out.status = store_status::ok;
   co_return out;
 }
--- a/src/planner.cc
+++ b/src/planner.cc
@@ -1,4 +1,5 @@
-// Plans the next placement of a data hall from what is wanted and present.
+// Plans the next placement of a data hall from the configuration and the
+// present hosts.
 #include <algorithm>
 
 #include "spokesail/placement.h"
@@ -13,17 +14,17 @@
 
   plan_result run() {
     this->next.hall = this->in.hall;
-    this->settle_groups();
+    this->advance_groups();
     this->repair_groups();
-    this->add_missing();
+    this->form_missing_groups();
     this->drain_unwanted();
-    this->retire_surplus();
+    this->drain_surplus();
     return {std::move(this->next), std::move(this->changes)};
   }
 
  private:
-  void note(const group& g, std::string what, std::string why) {
-    this->changes.push_back({g.name, std::move(what), std::move(why)});
+  void record_change(const group& g, std::string change, std::string reason) {
+    this->changes.push_back({g.name, std::move(change), std::move(reason)});
   }
 
   const host_view* find(const std::string& host) const {
@@ -36,7 +37,7 @@
     return view && view->report;
   }
 
-  bool lost_for_good(const std::string& host) const {
+  bool permanently_lost(const std::string& host) const {
     const host_view* view = this->find(host);
     if (!view) return true;
     const auto grace = this->in.config->limits.repair_grace;
@@ -57,7 +58,8 @@
                        [&](const auto& host) { return this->present(host); });
   }
 
-  /// Serving and whole: what a planned change must not run short of.
+  /// Whether a group is serving and complete. Planned changes must keep enough
+  /// such groups.
   bool counts_as_serving(const group& g) const {
     return g.phase == group_phase::serving && this->ready(g);
   }
@@ -70,16 +72,16 @@
                       }));
   }
 
-  bool idle(const group& g) const {
+  bool drained_and_idle(const group& g) const {
     const auto it = this->in.draining_since.find(g.name);
     if (it == this->in.draining_since.end()) return false;
     const absl::Time settled = it->second + this->in.drain_settle;
     if (this->in.now < settled) return false;
-    const host_view* leader = this->find(g.hosts.front());
-    if (!leader) return true;
-    if (!leader->report) return this->lost_for_good(g.hosts.front());
-    const bool fresh = leader->load_at >= settled;
-    return fresh && leader->load.running == 0 && leader->load.queued == 0;
+    const host_view* head = this->find(g.hosts.front());
+    if (!head) return true;
+    if (!head->report) return this->permanently_lost(g.hosts.front());
+    const bool load_is_recent = head->load_at >= settled;
+    return load_is_recent && head->load.running == 0 && head->load.queued == 0;
   }
 
   bool wanted(const group& g) const {
@@ -95,32 +97,34 @@
     return it == model.replicas.end() ? 0 : it->second;
   }
 
-  /// Groups that became whole start to serve; drained ones end.
-  void settle_groups() {
+  /// Lets complete groups serve and releases drained ones.
+  void advance_groups() {
     std::vector<group> kept;
     for (auto& g : this->next.groups) {
-      if (g.phase == group_phase::draining && this->idle(g)) {
-        this->note(g, "released", "drained");
+      if (g.phase == group_phase::draining && this->drained_and_idle(g)) {
+        this->record_change(g, "released", "drained");
         continue;
       }
       if (g.phase == group_phase::loading && this->ready(g)) {
         g.phase = group_phase::serving;
-        this->note(g, "serving", "all members ready");
+        this->record_change(g, "serving", "all members ready");
       }
       kept.push_back(g);
     }
     this->next.groups = std::move(kept);
   }
 
-  /// A group with a leaving host drains at once, since a leaving server takes
-  /// no new work. Groups that are merely unwanted heed the minimum.
+  /// Drains a group with a leaving host at once, since a leaving server accepts
+  /// no new requests, and groups that are merely unwanted only as far as the
+  /// minimum of serving groups allows.
   void drain_unwanted() {
     for (auto& g : this->next.groups) {
       if (g.phase == group_phase::draining) continue;
       const bool leaving = this->has_leaving_host(g);
-      if (!leaving && (this->wanted(g) || !this->may_retire(g))) continue;
+      if (!leaving && (this->wanted(g) || !this->may_drain(g))) continue;
       g.phase = group_phase::draining;
-      this->note(g, "draining", leaving ? "host is leaving" : "not wanted");
+      this->record_change(g, "draining",
+                          leaving ? "host is leaving" : "not wanted");
     }
   }
 
@@ -138,9 +142,10 @@
     });
   }
 
-  /// Whether an unwanted group may go now: either enough others serve, or it
-  /// is the only one of its model in change and the minimum holds without it.
-  bool may_retire(const group& g) const {
+  /// Whether an unwanted group may be drained now: either enough others serve,
+  /// or no other group of its model is changing and the minimum is met without
+  /// it.
+  bool may_drain(const group& g) const {
     if (!this->counts_as_serving(g)) return true;
     const model_config* model = find_model(*this->in.config, g.model);
     if (!model || this->replicas_wanted(*model) == 0) return true;
@@ -157,12 +162,12 @@
 
   bool has_lost_member(const group& g) const {
     return std::any_of(g.hosts.begin(), g.hosts.end(), [&](const auto& host) {
-      return this->lost_for_good(host);
+      return this->permanently_lost(host);
     });
   }
 
-  /// Lost members are replaced by spares of the same domain; a group that
-  /// cannot be completed there is dissolved, so that its hosts can serve.
+  /// Replaces lost members by spares of the same domain. A group that cannot be
+  /// completed there is dissolved, so that its hosts can serve.
   void repair_groups() {
     std::vector<size_t> broken;
     for (size_t i = 0; i < this->next.groups.size(); i++) {
@@ -176,9 +181,10 @@
     std::set<std::string> dissolved;
     for (const size_t i : broken) {
       group& g = this->next.groups[i];
-      if (g.phase == group_phase::draining || !this->swap_lost(g)) {
+      if (g.phase == group_phase::draining || !this->replace_lost_members(g)) {
         dissolved.insert(g.name);
-        this->note(g, "released", "members lost, no spare in its domain");
+        this->record_change(g, "released",
+                            "members lost, no spare in its domain");
       }
     }
     std::erase_if(this->next.groups,
@@ -190,11 +196,11 @@
     return model ? model->importance : 0;
   }
 
-  bool swap_lost(group& g) {
+  bool replace_lost_members(group& g) {
     std::vector<std::string> lost;
     std::string domain;
     for (const auto& host : g.hosts) {
-      if (this->lost_for_good(host)) {
+      if (this->permanently_lost(host)) {
         lost.push_back(host);
       } else {
         domain = this->find(host)->info.domain;
@@ -203,15 +209,15 @@
     if (lost.size() == g.hosts.size()) return false;
     const auto spares = this->free_in(domain, g.model, g.version);
     if (spares.free_hosts.size() < lost.size()) return false;
-    std::string swapped;
+    std::string replacements;
     for (size_t i = 0; i < lost.size(); i++) {
       const auto& spare = spares.free_hosts[i];
       *std::find(g.hosts.begin(), g.hosts.end(), lost[i]) = spare;
-      swapped += lost[i] + ">" + spare + " ";
+      replacements += lost[i] + ">" + spare + " ";
     }
     g.incarnation = this->next.next_incarnation++;
     g.phase = group_phase::loading;
-    this->note(g, "repaired", swapped);
+    this->record_change(g, "repaired", replacements);
     return true;
   }
 
@@ -250,8 +256,8 @@
       }
     }
     for (const auto& g : this->next.groups) {
-      const host_view* leader = this->find(g.hosts.front());
-      if (!leader || leader->info.domain != domain) continue;
+      const host_view* head = this->find(g.hosts.front());
+      if (!head || head->info.domain != domain) continue;
       const int size = static_cast<int>(g.hosts.size());
       supply.largest_group = std::max(supply.largest_group, size);
     }
@@ -278,8 +284,9 @@
     return {sizes.begin(), sizes.end()};
   }
 
-  /// Hosts for a new replica: within one domain, or across several if the
-  /// model allows it and no domain has enough. Empty if there are none.
+  /// Chooses the hosts of a new replica: within one domain, or across several
+  /// if the model allows it and no domain has enough. Empty if there are too
+  /// few.
   std::vector<std::string> choose_hosts(const model_config& model) const {
     const auto need = static_cast<size_t>(model.hosts_per_replica);
     std::vector<domain_supply> fitting;
@@ -323,7 +330,7 @@
         }));
   }
 
-  void add_missing() {
+  void form_missing_groups() {
     for (const model_config* model : this->models_by_importance()) {
       int missing =
           this->replicas_wanted(*model) - this->current_replicas(*model);
@@ -338,14 +345,14 @@
         g.version = model->version;
         g.adapters = model->adapters;
         g.hosts = std::move(hosts);
-        this->note(g, "formed", "replica wanted");
+        this->record_change(g, "formed", "replica wanted");
         this->next.groups.push_back(std::move(g));
       }
     }
   }
 
-  /// Replicas beyond the wanted number drain, those not serving first.
-  void retire_surplus() {
+  /// Drains replicas beyond the wanted number, those not serving first.
+  void drain_surplus() {
     for (const auto& model : this->in.config->models) {
       int surplus =
           this->current_replicas(model) - this->replicas_wanted(model);
@@ -358,7 +365,7 @@
           if (!this->wanted(g)) continue;
           if (pass == 0 && this->counts_as_serving(g)) continue;
           g.phase = group_phase::draining;
-          this->note(g, "draining", "more replicas than wanted");
+          this->record_change(g, "draining", "more replicas than wanted");
           surplus--;
         }
       }
--- a/src/reducer.cc
+++ b/src/reducer.cc
@@ -39,13 +39,13 @@
       controller(options.self.hall, holder, options.controller);
   state.requests = request_table(options.self.name, options.boot);
   state.started = now;
-  state.heard_platform = now;
+  state.last_platform_contact = now;
   state.last_event = now;
   return state;
 }
 
 reduction reduce(node_state state, const event& e) {
-  // Time never runs backward, whatever order events were queued in.
+  // Events may be queued out of order; time must not run backwards.
   const absl::Time now = std::max(e.at, state.last_event);
   state.last_event = now;
   detail::node_step step(state, now);
--- a/src/request-answer.cc
+++ b/src/request-answer.cc
@@ -1,4 +1,4 @@
-// Passes a backend server's answer on to the caller.
+// Relays a backend server's response to the caller.
 #include <absl/strings/str_cat.h>
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 #include "caller-session.h"
 #include "detail/socket.h"
 #include "end-to-end.h"
-#include "request-run.h"
+#include "request-handler.h"
 
 namespace spokesail {
 namespace {
@@ -19,16 +19,16 @@
 namespace net = boost::asio;
 namespace http = boost::beast::http;
 
-/// Largest plain answer that is held in memory, in bytes.
-constexpr size_t largest_whole_answer = 16 << 20;
+/// Largest plain response that is held in memory, in bytes.
+constexpr size_t max_buffered_response = 16 << 20;
 
-/// How often an answer that there is no memory for is looked at again.
-constexpr absl::Duration memory_step = absl::Milliseconds(20);
+/// Interval at which a response that lacks memory checks for it again.
+constexpr absl::Duration memory_poll_interval = absl::Milliseconds(20);
 
-/// A server may cut off an answer that nobody has read for some seconds.
-constexpr absl::Duration unread_time = absl::Seconds(1);
+/// A server may break off a response that was not read for some seconds.
+constexpr absl::Duration slow_read_threshold = absl::Seconds(1);
 
-/// Appends buffers, such as a chunk with its frame, to `out`.
+/// Appends buffers, such as a chunk with its framing, to `out`.
 template <typename Buffers>
 void append_buffers(std::string& out, const Buffers& buffers) {
   for (const net::const_buffer part :
@@ -39,77 +39,78 @@
 
 }  // namespace
 
-net::awaitable<run_end> request_run::pass_answer(exchange& ex,
-                                                 const answer_head& head) {
+net::awaitable<attempt_result> request_handler::relay_response(
+    exchange& ex, const answer_head& head) {
   const bool stream = this->route->streaming && ex.head().result_int() == 200 &&
                       is_event_stream(ex.head());
-  if (stream) co_return co_await this->pass_stream(ex, head);
-  co_return co_await this->pass_whole(ex, head);
+  if (stream) co_return co_await this->relay_stream(ex, head);
+  co_return co_await this->relay_buffered(ex, head);
 }
 
-bool request_run::repeat_instead(unsigned status) {
+bool request_handler::retry_instead(unsigned status) {
   if (status < first_server_error) return false;
-  const bool wanted = this->service->engine.has_value() ||
-                      this->node.settings.policy.repeat_failed_calls;
-  return wanted && this->may_repeat(run_end::broken);
+  const bool wants_retry = this->service->engine.has_value() ||
+                           this->node.settings.policy.repeat_failed_calls;
+  return wants_retry && this->may_retry(attempt_result::broken);
 }
 
-net::awaitable<void> request_run::wait_for_memory(exchange& ex,
-                                                  const held_answer& answer) {
-  ex.blocked = true;
-  while (!answer.may_grow() && ex.aborted == abort_cause::none) {
-    co_await this->node.sleep(memory_step);
+net::awaitable<void> request_handler::wait_for_memory(
+    exchange& ex, const answer_charge& charge) {
+  ex.waiting_for_caller = true;
+  while (!charge.may_grow() && ex.aborted == abort_cause::none) {
+    co_await this->node.sleep(memory_poll_interval);
   }
-  ex.blocked = false;
+  ex.waiting_for_caller = false;
 }
 
-net::awaitable<run_end> request_run::pass_whole(exchange& ex,
-                                                const answer_head& head) {
+net::awaitable<attempt_result> request_handler::relay_buffered(
+    exchange& ex, const answer_head& head) {
   std::string body;
-  held_answer held(this->node.held);
+  answer_charge charge(this->node.held);
   while (!ex.body_done()) {
-    co_await this->wait_for_memory(ex, held);
+    co_await this->wait_for_memory(ex, charge);
     const std::string error = co_await ex.read_some(body);
-    held.set(body.size());
-    if (!error.empty() || body.size() > largest_whole_answer) {
-      ex.lost = !error.empty();
-      this->log_attempt(ex, "broken", error.empty() ? "too large" : error);
-      co_return run_end::broken;
+    charge.set(body.size());
+    if (!error.empty() || body.size() > max_buffered_response) {
+      ex.server_lost = !error.empty();
+      this->log_attempt(ex, "broken",
+                        error.empty() ? "response is too large" : error);
+      co_return attempt_result::broken;
     }
   }
   const unsigned status = ex.head().result_int();
   const std::string status_text = absl::StrCat("status ", status);
-  if (this->head_out) {
-    // Another server was to go on with a stream, and answered otherwise.
+  if (this->head_sent) {
+    // Another server was to resume a stream, but sent a plain response.
     this->log_attempt(ex, "broken", status_text);
-    co_return run_end::broken;
+    co_return attempt_result::broken;
   }
-  if (this->repeat_instead(status)) {
+  if (this->retry_instead(status)) {
     this->log_attempt(ex, "broken", status_text);
-    ex.keep(head);
-    co_return run_end::broken;
+    ex.keep_connection(head);
+    co_return attempt_result::broken;
   }
   http_response out;
   out.result(status);
   out.version(http_11);
-  copy_end_to_end(ex.head(), out);
-  const bool bodiless = this->request.method() == http::verb::head;
-  if (!bodiless) out.body() = std::move(body);
+  copy_end_to_end_headers(ex.head(), out);
+  const bool no_body = this->request.method() == http::verb::head;
+  if (!no_body) out.body() = std::move(body);
   out.keep_alive(this->keep_alive && !this->node.stopping());
-  this->note_answer(ex);
+  this->record_response(ex);
   this->log_attempt(ex, "whole", "");
-  ex.keep(head);
-  ex.blocked = true;
+  ex.keep_connection(head);
+  ex.waiting_for_caller = true;
   co_await this->session.write(out);
   this->log_end("answered", "", status);
-  co_return run_end::done;
+  co_return attempt_result::done;
 }
 
-net::awaitable<bool> request_run::write_stream(const std::string& bytes,
-                                               bool last) {
+net::awaitable<bool> request_handler::write_stream(const std::string& bytes,
+                                                   bool last) {
   std::string out;
-  if (!this->head_out) out = std::move(this->stream_head);
-  this->head_out = true;
+  if (!this->head_sent) out = std::move(this->stream_head);
+  this->head_sent = true;
   if (!this->chunked) {
     out += bytes;
   } else {
@@ -120,41 +121,42 @@
   co_return co_await this->session.write(out);
 }
 
-void request_run::note_prediction(const exchange& ex, absl::Time now) {
-  if (!this->admitted || this->sends != 1) return;
-  this->node.admission.note_first_event(
+void request_handler::record_prediction_error(const exchange& ex,
+                                              absl::Time now) {
+  if (!this->last_decision || this->attempts_made != 1) return;
+  this->node.admission.record_first_event(
       this->admission_pool(), this->chosen.predicted_ms,
       absl::ToDoubleMilliseconds(now - ex.sent_at), now);
 }
 
-net::awaitable<bool> request_run::pass_events(exchange& ex,
-                                              const event_run& events) {
-  ex.note_event();
+net::awaitable<bool> request_handler::relay_events(exchange& ex,
+                                                   const event_batch& events) {
+  ex.record_event();
   const absl::Time now = ex.last_event;
   if (this->first_event_at == absl::InfiniteFuture()) {
-    this->note_time(ex);
+    this->record_latency(ex);
     this->first_event_at = now;
     this->node.metrics.observe_first_event(
         absl::ToDoubleSeconds(now - this->arrived));
-    this->note_prediction(ex, now);
+    this->record_prediction_error(ex, now);
   } else {
-    this->longest_pause =
-        std::max(this->longest_pause, now - this->last_event_at);
+    this->max_event_gap =
+        std::max(this->max_event_gap, now - this->last_event_at);
   }
   this->last_event_at = now;
   if (events.last_id >= 0) this->last_event = events.last_id;
-  ex.blocked = true;
-  const bool passed = co_await this->write_stream(events.bytes, false);
-  ex.blocked = false;
-  ex.left_unread = this->node.now() - now >= unread_time;
-  co_return passed;
+  ex.waiting_for_caller = true;
+  const bool written = co_await this->write_stream(events.bytes, false);
+  ex.waiting_for_caller = false;
+  ex.caller_not_reading = this->node.now() - now >= slow_read_threshold;
+  co_return written;
 }
 
-void request_run::begin_stream(const exchange& ex) {
+void request_handler::begin_stream(const exchange& ex) {
   http_response out;
   out.result(ex.head().result_int());
   out.version(http_11);
-  copy_end_to_end(ex.head(), out);
+  copy_end_to_end_headers(ex.head(), out);
   this->keep_alive =
       this->keep_alive && this->chunked && !this->node.stopping();
   out.keep_alive(this->keep_alive);
@@ -164,9 +166,9 @@
   this->stream_head = text.str();
 }
 
-net::awaitable<run_end> request_run::pass_stream(exchange& ex,
-                                                 const answer_head& head) {
-  if (!this->head_out) this->begin_stream(ex);
+net::awaitable<attempt_result> request_handler::relay_stream(
+    exchange& ex, const answer_head& head) {
+  if (!this->head_sent) this->begin_stream(ex);
   event_splitter splitter;
   std::string bytes;
   std::string error;
@@ -175,29 +177,29 @@
     error = co_await ex.read_some(bytes);
     const auto events = splitter.feed(bytes);
     if (!events) error = "event is too large";
-    const bool some =
+    const bool has_events =
         events && events->events > 0 && ex.aborted == abort_cause::none;
-    if (!some) continue;
-    const bool passed = co_await this->pass_events(ex, *events);
-    if (!passed) {
+    if (!has_events) continue;
+    const bool written = co_await this->relay_events(ex, *events);
+    if (!written) {
       ex.abort(abort_cause::caller_gone);
       this->log_attempt(ex, "caller_gone", "");
-      co_return run_end::broken;
+      co_return attempt_result::broken;
     }
   }
   if (!error.empty() || ex.aborted != abort_cause::none) {
-    // What its caller left unread is no fault of the server's.
-    ex.lost = !ex.left_unread;
-    this->log_attempt(ex, ex.left_unread ? "unread" : "broken", error);
-    co_return run_end::broken;
+    // A server is not at fault for what its caller left unread.
+    ex.server_lost = !ex.caller_not_reading;
+    this->log_attempt(ex, ex.caller_not_reading ? "unread" : "broken", error);
+    co_return attempt_result::broken;
   }
-  const std::string rest = splitter.rest();
-  ex.blocked = true;
-  co_await this->write_stream(rest, true);
-  ex.keep(head);
+  const std::string remainder = splitter.remainder();
+  ex.waiting_for_caller = true;
+  co_await this->write_stream(remainder, true);
+  ex.keep_connection(head);
   this->log_attempt(ex, "whole", "");
   this->log_end("answered", "", ex.head().result_int());
-  co_return run_end::done;
+  co_return attempt_result::done;
 }
 
 }  // namespace spokesail
--- a/src/request-crash.cc
+++ b/src/request-crash.cc
@@ -1,10 +1,10 @@
-// What a request's runs tell of whether it crashes servers.
+// Records whether a request crashes the servers that run it.
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
 
 #include "caller-session.h"
 #include "crash-check.h"
-#include "request-run.h"
+#include "request-handler.h"
 
 namespace spokesail {
 namespace {
@@ -12,69 +12,73 @@
 namespace net = boost::asio;
 namespace http = boost::beast::http;
 
-/// A kept connection to a server that is gone is reset within a round trip:
-/// under 10 ms between data halls. A server that ended by itself would else
-/// count against each request that was sent there before its end was known: on
-/// a day whose hosts all stopped, such a request was held to be guilty.
+/// A kept connection to a server that has stopped is reset within a round trip,
+/// under 10 ms between data halls. Attempts on reused connections that fail
+/// sooner than this limit do not count as run: a server that ended for another
+/// reason would otherwise count against each request sent to it before its end
+/// was known. On a day on which all hosts stopped, a request that caused no
+/// crash was quarantined for this reason.
 constexpr absl::Duration dead_connection_limit = absl::Milliseconds(20);
 
 }  // namespace
 
-const request_identity& request_run::identity() {
-  if (!this->known_identity) {
+const request_identity& request_handler::identity() {
+  if (!this->cached_identity) {
     const auto host = this->request[http::field::host];
     const auto target = this->request.target();
     const auto method = this->request.method_string();
-    this->known_identity = identify_request(
+    this->cached_identity = identify_request(
         this->workspace == nullptr ? "" : this->workspace->name,
         {method.data(), method.size()}, {host.data(), host.size()},
         {target.data(), target.size()}, this->request.body());
   }
-  return *this->known_identity;
+  return *this->cached_identity;
 }
 
-bool request_run::quarantined() {
-  // Read from the whole content only while anything is held against anybody.
+bool request_handler::quarantined() {
+  // Hashing the whole content is avoided unless some request is suspected.
   return !this->node.crashes.empty() &&
          this->node.crashes.quarantined(this->identity());
 }
 
-bool request_run::has_lost_servers() {
-  if (this->lost_before) return true;
+bool request_handler::has_lost_servers() {
+  if (this->server_lost_before) return true;
   return !this->node.crashes.empty() &&
-         this->node.crashes.count(this->identity()) > 0;
+         this->node.crashes.crash_count(this->identity()) > 0;
 }
 
-bool request_run::may_have_run(const exchange& ex) const {
-  return !ex.reused || ex.answered ||
+bool request_handler::may_have_run(const exchange& ex) const {
+  return !ex.reused || ex.head_received ||
          this->node.now() - ex.sent_at >= dead_connection_limit;
 }
 
-net::awaitable<void> request_run::note_run(const exchange& ex, run_end end) {
-  const bool by_caller = ex.aborted == abort_cause::caller_gone ||
-                         ex.aborted == abort_cause::time_up;
-  if (end == run_end::broken && ex.lost && !by_caller) {
-    this->lost_before = true;
-    if (this->may_have_run(ex)) co_await this->note_loss(ex);
+net::awaitable<void> request_handler::record_run_result(const exchange& ex,
+                                                        attempt_result result) {
+  const bool aborted_by_caller = ex.aborted == abort_cause::caller_gone ||
+                                 ex.aborted == abort_cause::time_up;
+  if (result == attempt_result::broken && ex.server_lost &&
+      !aborted_by_caller) {
+    this->server_lost_before = true;
+    if (this->may_have_run(ex)) co_await this->record_server_loss(ex);
   }
   if (this->node.crashes.empty()) co_return;
-  if (end == run_end::done) {
-    this->node.crashes.add_progress(this->identity(), run_point::whole,
+  if (result == attempt_result::done) {
+    this->node.crashes.add_progress(this->identity(), run_progress::completed,
                                     this->node.now());
-  } else if (ex.writing) {
+  } else if (ex.events_started) {
     this->node.crashes.add_progress(this->identity(), this->last_event,
                                     this->node.now());
   }
 }
 
-net::awaitable<void> request_run::note_loss(const exchange& ex) {
+net::awaitable<void> request_handler::record_server_loss(const exchange& ex) {
   lost_run lost{this->identity(),
-                ex.place,
-                {this->last_event, ex.answered, ex.repeated},
-                ex.lost_member};
+                ex.endpoint,
+                {this->last_event, ex.head_received, ex.after_server_loss},
+                ex.unresponsive_member};
   auto check = check_crash(this->node, std::move(lost));
-  // Whether to send a request on that may be the cause hangs on the answer. The
-  // second chance of others is not held up by it.
+  // A suspected request may be retried only if the check clears it. The retries
+  // of other requests are not delayed by it.
   if (this->node.crashes.suspected(this->identity())) {
     co_await std::move(check);
   } else {
