--- /dev/null
+++ b/src/request-handler.cc
@@ -0,0 +1,479 @@
+// The processing of a request from its head to its end: checks, attempts,
+// refusals.
+#include "request-handler.h"
+
+#include <absl/strings/str_cat.h>
+
+#include <algorithm>
+
+#include "caller-session.h"
+#include "end-to-end.h"
+
+namespace spokesail {
+namespace {
+
+namespace net = boost::asio;
+namespace http = boost::beast::http;
+
+/// Grace period for a response that is about to arrive at the deadline.
+constexpr absl::Duration response_grace = absl::Milliseconds(150);
+
+/// A retryable plain call is aborted after this many times the route's goal
+/// while another attempt is left.
+constexpr double first_attempt_goal_factor = 2.2;
+
+/// Retry delay for callers refused for lack of capacity: groups reopen or free
+/// a slot within about this time.
+constexpr absl::Duration no_capacity_retry_delay = absl::Milliseconds(400);
+/// Retry delay during evacuations, which last seconds at least.
+constexpr absl::Duration evacuation_retry_delay = absl::Seconds(1);
+/// Upper bound on the retry delay for rate limits: a low limit may end before
+/// the computed delay has passed.
+constexpr absl::Duration max_limit_retry_delay = absl::Seconds(3);
+/// Retry delay if only this node refuses: another node can take the request at
+/// once.
+constexpr absl::Duration other_node_retry_delay = absl::Milliseconds(20);
+/// Retry delay while no configuration is known; one is read within about this
+/// time.
+constexpr absl::Duration no_config_retry_delay = absl::Milliseconds(500);
+
+/// How long a request waits on a node that has just started. The node reads its
+/// configuration and the server list within about this time, most of which goes
+/// into a large configuration on a small host.
+constexpr absl::Duration startup_timeout = absl::Milliseconds(450);
+constexpr absl::Duration startup_poll_interval = absl::Milliseconds(15);
+
+/// A first event is overdue after this many times its predicted time plus this
+/// slack. Overdue first events reveal stalled groups.
+constexpr double first_event_factor = 2;
+constexpr absl::Duration first_event_slack = absl::Milliseconds(300);
+
+/// Maximum attempts of one request, including those that servers reject.
+constexpr int max_attempts = 4;
+
+/// Lowest priority rank that servers accept; 0 is the highest.
+constexpr int lowest_rank = 9;
+/// Ranks of routes within one rank of a workspace.
+constexpr int route_ranks = 3;
+/// Rank of requests that belong to no workspace.
+constexpr int no_workspace_rank = 1;
+
+}  // namespace
+
+request_handler::request_handler(node_context& state, caller_session& caller,
+                                 http_request content, absl::Time when,
+                                 bool keep)
+    : node(state),
+      session(caller),
+      request(std::move(content)),
+      arrived(when),
+      keep_alive(keep),
+      table(state.routes),
+      chunked(this->request.version() >= http_11) {}
+
+absl::Duration request_handler::time_left() const {
+  return this->deadline - this->node.now();
+}
+
+net::awaitable<void> request_handler::wait_until_ready() {
+  const absl::Time until = this->arrived + startup_timeout;
+  const auto is_ready = [this] {
+    return this->node.routes && this->node.directory_listed &&
+           this->node.evacuations_known();
+  };
+  while (!is_ready() && !this->session.disconnected &&
+         this->node.now() < until) {
+    co_await this->node.sleep(startup_poll_interval);
+  }
+  this->table = this->node.routes;
+}
+
+std::optional<request_handler::refusal> request_handler::reason_to_refuse() {
+  std::string fault;
+  const auto parsed =
+      this->node.adapter.read_caller_request(this->request, fault);
+  if (!parsed) {
+    this->last_error = fault;
+    return refusal{400, "request head not understood", {}};
+  }
+  this->info = *parsed;
+  if (this->node.closing()) {
+    return refusal{503, "node is stopping", other_node_retry_delay};
+  }
+  if (!this->node.held.accepts_requests()) {
+    return refusal{503, "node holds too much", other_node_retry_delay};
+  }
+  if (!this->table) {
+    return refusal{503, "no configuration yet", no_config_retry_delay};
+  }
+  if (!this->node.evacuations_known()) {
+    return refusal{503, "evacuations are not known yet", no_config_retry_delay};
+  }
+  if (const auto refused = this->match_route()) return refused;
+  const absl::Duration timeout =
+      this->info.time_limit.value_or(this->route->timeout);
+  this->deadline = this->arrived + std::min(timeout, this->route->timeout);
+  if (const auto refused = this->match_service()) return refused;
+  if (!this->quarantined()) return std::nullopt;
+  // A quarantined request crashes each server that runs it, and all requests
+  // running beside it are lost. The refusal says that the request has not run,
+  // which is true of this attempt, and its retry delay lasts until the
+  // quarantine ends.
+  return refusal{
+      503, "servers crashed under it",
+      this->node.crashes.remaining(this->identity(), this->node.now())};
+}
+
+std::optional<request_handler::refusal> request_handler::match_route() {
+  const auto host = this->request[http::field::host];
+  const auto target = this->request.target();
+  this->route = this->table->find_route({host.data(), host.size()},
+                                        {target.data(), target.size()});
+  if (this->route == nullptr)
+    return this->unknown_refusal(404, "no such route");
+  const bool needs_key =
+      !this->route->public_access && !this->table->config().workspaces.empty();
+  if (!needs_key) return std::nullopt;
+  this->workspace = this->table->find_workspace(this->info.key);
+  if (!this->node.keys_trusted()) {
+    return refusal{503, "keys cannot be checked", no_config_retry_delay};
+  }
+  if (this->workspace == nullptr)
+    return this->unknown_refusal(401, "unknown key");
+  return std::nullopt;
+}
+
+request_handler::refusal request_handler::unknown_refusal(
+    unsigned status, const char* reason) const {
+  // It may have been added since; a node with a newer configuration knows it.
+  if (!this->node.config_fresh()) {
+    return {503, "configuration is old", no_config_retry_delay};
+  }
+  return {status, reason, {}};
+}
+
+std::optional<request_handler::refusal> request_handler::match_service() {
+  this->choose_service();
+  if (this->service == nullptr) {
+    return refusal{503, "service is not configured", no_config_retry_delay};
+  }
+  this->last_event = this->info.last_event;
+  this->node.retries.count_request(this->service->name, this->node.now());
+  if (!this->service->engine) return std::nullopt;
+  this->model = find_model(*this->service->engine, this->info.model);
+  if (this->model == nullptr) {
+    return refusal{503, "model is not configured", no_config_retry_delay};
+  }
+  return std::nullopt;
+}
+
+int request_handler::rank() const {
+  const int workspace_rank = this->workspace == nullptr
+                                 ? no_workspace_rank
+                                 : this->workspace->priority;
+  return std::clamp(workspace_rank * route_ranks + this->route->priority, 0,
+                    lowest_rank);
+}
+
+http_request request_handler::attempt_request(
+    const endpoint_target& endpoint) const {
+  http_request out;
+  out.version(http_11);
+  out.method_string(this->request.method_string());
+  out.target(this->request.target());
+  copy_end_to_end_headers(this->request, out);
+  const bool has_length =
+      this->request.find(http::field::content_length) != this->request.end() ||
+      this->request.find(http::field::transfer_encoding) != this->request.end();
+  out.body() = this->request.body();
+  if (has_length) out.content_length(out.body().size());
+  attempt_head head;
+  head.server = endpoint.server;
+  if (this->workspace != nullptr) head.workspace = this->workspace->name;
+  head.time_left = std::max(absl::Milliseconds(1), this->time_left());
+  head.priority = this->rank();
+  head.last_event = this->last_event;
+  this->node.adapter.write_attempt_headers(head, out);
+  return out;
+}
+
+void request_handler::prepare_exchange(exchange& ex,
+                                       const endpoint_target& endpoint) const {
+  ex.deadline = this->deadline + response_grace;
+  ex.expected_ms = absl::ToDoubleMilliseconds(this->route->goal);
+  const bool attempts_left = this->possible_runs + 1 < this->route->attempts;
+  if (!this->service->engine) {
+    if (!this->route->repeatable || !attempts_left) return;
+    ex.deadline =
+        std::min(ex.deadline, this->node.now() + first_attempt_goal_factor *
+                                                     this->route->goal);
+    return;
+  }
+  const endpoint_load load =
+      this->node.loads.total(endpoint.group, this->node.now());
+  group_option option;
+  option.running = load.running;
+  option.pending_prefill_tokens = load.pending_prefill_tokens;
+  const double predicted =
+      predict_first_event_ms(*this->service->engine, *this->model, option, 0);
+  ex.expected_ms = predicted;
+  const double slowness =
+      this->node.speeds.slowness(endpoint.group, this->node.now());
+  ex.first_event_deadline =
+      this->node.now() + first_event_slack +
+      first_event_factor * absl::Milliseconds(predicted * slowness);
+}
+
+net::awaitable<attempt_result> request_handler::attempt(
+    endpoint_target endpoint) {
+  exchange ex(this->node, std::move(endpoint), this->info.prompt_tokens);
+  this->session.current_exchange = &ex;
+  struct detach {
+    caller_session& session;
+    ~detach() { this->session.current_exchange = nullptr; }
+  } detach_at_end{this->session};
+  this->prepare_exchange(ex, ex.endpoint);
+  this->attempts_made++;
+  ex.after_server_loss = this->has_lost_servers();
+  const attempt_result result = co_await this->run_exchange(ex);
+  if (result != attempt_result::done) this->record_failure(ex);
+  co_await this->record_run_result(ex, result);
+  co_return result;
+}
+
+net::awaitable<attempt_result> request_handler::run_exchange(exchange& ex) {
+  const bool connected = co_await this->connect(ex);
+  if (!connected) co_return attempt_result::not_run;
+  const bool head_received = co_await this->send_and_read_head(ex);
+  if (!head_received) co_return attempt_result::broken;
+  const answer_head head =
+      this->node.adapter.read_response_head(ex.head().result_int(), ex.head());
+  this->update_server_limit(ex, head);
+  const std::optional<attempt_result> result = this->classify_head(ex, head);
+  if (result) co_return *result;
+  co_return co_await this->relay_response(ex, head);
+}
+
+net::awaitable<bool> request_handler::connect(exchange& ex) {
+  // A call that may run only once needs a new connection: if a kept one breaks,
+  // it is unknown whether the call arrived. After a lost attempt, a new
+  // connection shows whether the server is alive.
+  const bool reuse = this->route->repeatable && !this->server_lost_before;
+  const std::string error = co_await ex.connect(reuse);
+  if (error.empty() && this->node.now() < ex.endpoint.send_by) co_return true;
+  if (error.empty()) {
+    this->log_attempt(ex, "not_sent", "connected after the grant expired");
+    co_return false;
+  }
+  this->log_attempt(ex, "not_connected", error);
+  this->node.avoid_endpoint(ex.endpoint.load_key());
+  this->node.suspect_server(ex.endpoint.server);
+  co_return false;
+}
+
+net::awaitable<bool> request_handler::send_and_read_head(exchange& ex) {
+  if (this->reserved) this->count_retry();
+  if (this->chosen.limit) this->node.metrics.count_limited("sent");
+  this->connected_attempts++;
+  http_request outgoing = this->attempt_request(ex.endpoint);
+  std::string error = co_await ex.send(outgoing);
+  if (error.empty()) {
+    const bool no_body = this->request.method() == http::verb::head;
+    error = co_await ex.read_head(no_body);
+  }
+  ex.head_received = error.empty();
+  if (ex.head_received) co_return true;
+  this->possible_runs++;
+  ex.server_lost = true;
+  this->log_attempt(ex, "broken", error);
+  // A kept connection may just have been closed by its server.
+  if (!ex.reused && ex.aborted == abort_cause::none) {
+    this->node.avoid_endpoint(ex.endpoint.load_key());
+  }
+  co_return false;
+}
+
+void request_handler::update_server_limit(const exchange& ex,
+                                          const answer_head& head) {
+  if (head.request_id != this->info.id) return;
+  const server_instance server{ex.endpoint.server, ex.endpoint.incarnation};
+  const std::optional<double> before = this->node.limits.find(server);
+  if (head.limit_invalid) {
+    this->log_limit("server_limit_unreadable", ex, before, std::nullopt);
+    return;
+  }
+  // A missing header counts only in a stamped response that is not marked as
+  // not run; any other may not come from the server itself.
+  if (!head.limit_per_s && (head.not_run || !head.has_server_stamp)) return;
+  this->node.limits.note_answer(server, head.limit_per_s, ex.sent_at,
+                                this->node.now());
+  const std::optional<double> after = this->node.limits.find(server);
+  if (before == after) return;
+  this->log_limit(after ? "server_limit_named" : "server_limit_ended", ex,
+                  before, after);
+}
+
+std::optional<attempt_result> request_handler::classify_head(
+    const exchange& ex, const answer_head& head) {
+  const bool known_id = head.request_id == this->info.id;
+  if (head.not_run && (known_id || head.request_id.empty())) {
+    this->log_attempt(ex, "not_run",
+                      absl::StrCat("status ", ex.head().result_int(), " at ",
+                                   head.faulty_server));
+    this->node.avoid_endpoint(ex.endpoint.load_key());
+    if (!head.faulty_server.empty())
+      this->node.suspect_server(head.faulty_server);
+    return attempt_result::not_run;
+  }
+  this->possible_runs++;
+  if (!known_id) {
+    this->log_attempt(ex, "broken", "response has the id of another request");
+    return attempt_result::broken;
+  }
+  if (ex.head().find(http::field::content_encoding) != ex.head().end()) {
+    this->log_attempt(ex, "broken", "response has a content encoding");
+    return attempt_result::broken;
+  }
+  return std::nullopt;
+}
+
+bool request_handler::may_retry(attempt_result result) {
+  if (this->session.disconnected || this->attempts_made >= max_attempts)
+    return false;
+  if (this->time_left() <= absl::ZeroDuration()) return false;
+  if (this->quarantined()) return false;
+  if (result == attempt_result::broken &&
+      (!this->route->repeatable ||
+       this->possible_runs >= this->route->attempts)) {
+    return false;
+  }
+  return this->reserve_retry();
+}
+
+bool request_handler::reserve_retry() {
+  // The first attempt that reaches a server is no retry.
+  if (this->connected_attempts == 0 || this->reserved) return true;
+  const absl::Time now = this->node.now();
+  auto reservation = this->node.retries.reserve(
+      this->service->name, this->node.fleet.peak(now), now);
+  if (!reservation) {
+    this->log_retry("repeat_refused");
+    return false;
+  }
+  this->reserved.emplace(std::move(*reservation));
+  return true;
+}
+
+request_handler::refusal request_handler::final_refusal(
+    attempt_result result) const {
+  const bool not_run =
+      this->possible_runs == 0 && result != attempt_result::broken;
+  if (not_run && this->node.service_closed(this->service->name)) {
+    return {503, "data halls are evacuated", evacuation_retry_delay};
+  }
+  const bool not_admitted =
+      this->last_decision &&
+      this->last_decision->action != admission_action::send;
+  if (this->attempts_made == 0 && not_admitted) {
+    return {503, this->last_decision->reason, this->last_decision->retry_after};
+  }
+  if (this->attempts_made == 0 && this->ungranted_count > 0) {
+    return this->no_grant_refusal();
+  }
+  if (this->attempts_made == 0) {
+    const bool groups = this->service->engine.has_value();
+    return {503, groups ? "no group has room" : "no server is there",
+            no_capacity_retry_delay};
+  }
+  if (not_run) return {503, "no server took it", no_capacity_retry_delay};
+  if (this->time_left() <= absl::ZeroDuration()) {
+    return {504, "time is up", {}};
+  }
+  return {502, "server broke off", {}};
+}
+
+request_handler::refusal request_handler::no_grant_refusal() const {
+  const absl::Duration grant_lifetime = this->node.cold.times().grant_lifetime;
+  if (this->skipped_per_s <= 0) {
+    return {503, "servers are cold", grant_lifetime};
+  }
+  this->node.metrics.count_limited("refused");
+  // The time in which these servers' grants amount to one request per node.
+  const absl::Duration one_per_node =
+      absl::Seconds(std::max(1, this->node.live_nodes) / this->skipped_per_s);
+  return {503, "servers have reached their limits",
+          std::clamp(one_per_node, grant_lifetime, max_limit_retry_delay)};
+}
+
+net::awaitable<bool> request_handler::send_refusal(refusal r) {
+  http_response out(static_cast<http::status>(r.status), http_11);
+  out.set(http::field::content_type, "text/plain");
+  out.keep_alive(this->keep_alive && !this->node.stopping());
+  this->node.adapter.write_refusal(this->info.id, r.retry_after, out);
+  if (this->request.method() != http::verb::head) out.body() = r.reason;
+  co_await this->session.write(out);
+  this->log_end(r.status == 502 || r.status == 504 ? "failed" : "refused",
+                r.reason, r.status);
+  co_return out.keep_alive();
+}
+
+net::awaitable<bool> request_handler::run() {
+  this->node.requests_seen = true;
+  const bool ready = this->table && this->node.directory_listed &&
+                     this->node.evacuations_known();
+  if (!ready) {
+    co_await this->wait_until_ready();
+  }
+  if (const auto refused = this->reason_to_refuse()) {
+    co_return co_await this->send_refusal(*refused);
+  }
+  this->record_demand();
+  attempt_result result = attempt_result::not_run;
+  for (;;) {
+    const auto endpoint = co_await this->find_endpoint();
+    if (this->attempts_made == 0) {
+      this->queue_time = this->node.now() - this->arrived;
+      this->node.metrics.observe_queue(absl::ToDoubleSeconds(this->queue_time));
+    }
+    if (this->session.disconnected || !endpoint) break;
+    // The request may have been quarantined while it waited.
+    if (this->attempts_made > 0 && this->quarantined()) break;
+    this->tried_endpoints.insert(endpoint->load_key());
+    result = co_await this->attempt(*endpoint);
+    this->attempt_ended_at = this->node.now();
+    if (result == attempt_result::done) {
+      co_return this->keep_alive && !this->node.stopping();
+    }
+    if (!this->may_retry(result)) break;
+  }
+  co_return co_await this->finish_unserved(result);
+}
+
+void request_handler::count_retry() {
+  this->log_retry("repeat_sent");
+  this->reserved->spend(this->node.now());
+  this->reserved.reset();
+  if (this->head_sent) this->node.metrics.count_resume();
+}
+
+net::awaitable<bool> request_handler::finish_unserved(attempt_result result) {
+  if (this->session.disconnected) {
+    this->log_end("caller_gone", this->last_error, 0);
+    co_return false;
+  }
+  if (this->head_sent) {
+    this->log_end("broken_off", this->last_error, 0);
+    this->session.abort_connection();
+    co_return false;
+  }
+  const refusal r = this->final_refusal(result);
+  const bool no_capacity = this->node.settings.groups.follow_demand &&
+                           this->attempts_made == 0 && this->model != nullptr;
+  if (no_capacity) {
+    this->node.own_demand.count_refusal(this->service->name, this->model->name,
+                                        this->node.now());
+  }
+  co_return co_await this->send_refusal(r);
+}
+
+}  // namespace spokesail
--- a/src/request-log.cc
+++ b/src/request-log.cc
@@ -1,9 +1,9 @@
-// What a request leaves in the log and in the metrics.
+// Log lines and metrics of a request.
 #include <absl/strings/str_cat.h>
 
 #include <algorithm>
 
-#include "request-run.h"
+#include "request-handler.h"
 
 namespace spokesail {
 namespace {
@@ -14,21 +14,21 @@
 
 }  // namespace
 
-void request_run::log_attempt(const exchange& ex, const char* end,
-                              const std::string& error) {
-  this->node.metrics.count_attempt(end);
+void request_handler::log_attempt(const exchange& ex, const char* outcome,
+                                  const std::string& error) {
+  this->node.metrics.count_attempt(outcome);
   this->last_error = error;
-  if (std::string_view(end) == "whole") return;
+  if (std::string_view(outcome) == "whole") return;
   const absl::Time now = this->node.now();
   this->node.log.write(
-      log_weight::request, "attempt_ended",
+      log_category::request, "attempt_ended",
       {{"id", this->info.id},
        {"identity", to_text(this->identity())},
-       {"end", end},
+       {"end", outcome},
        {"why",
         ex.aborted == abort_cause::none ? error : abort_cause_name(ex.aborted)},
-       {"server", ex.place.server},
-       {"group", ex.place.group},
+       {"server", ex.endpoint.server},
+       {"group", ex.endpoint.group},
        {"reused", ex.reused ? "1" : "0"},
        {"last_event", absl::StrCat(this->last_event)},
        {"since_sent_ms", millis(now - std::min(now, ex.sent_at))},
@@ -40,64 +40,65 @@
       now);
 }
 
-void request_run::log_limit(const char* event, const exchange& ex,
-                            std::optional<double> before,
-                            std::optional<double> after) {
+void request_handler::log_limit(const char* event, const exchange& ex,
+                                std::optional<double> before,
+                                std::optional<double> after) {
   const auto format_limit = [](std::optional<double> per_s) {
     return per_s ? absl::StrCat(*per_s) : "none";
   };
-  this->node.log.belief(event,
-                        {{"server", ex.place.server},
-                         {"group", ex.place.group},
-                         {"id", this->info.id},
-                         {"status", absl::StrCat(ex.head().result_int())},
-                         {"before_per_s", format_limit(before)},
-                         {"per_s", format_limit(after)},
-                         {"live_nodes", absl::StrCat(this->node.live_nodes)}},
-                        this->node.now());
+  this->node.log.state_change(
+      event,
+      {{"server", ex.endpoint.server},
+       {"group", ex.endpoint.group},
+       {"id", this->info.id},
+       {"status", absl::StrCat(ex.head().result_int())},
+       {"before_per_s", format_limit(before)},
+       {"per_s", format_limit(after)},
+       {"live_nodes", absl::StrCat(this->node.live_nodes)}},
+      this->node.now());
 }
 
-repeat_account request_run::repeats() {
+retry_usage request_handler::current_retry_usage() {
   if (this->service == nullptr) return {};
   const absl::Time now = this->node.now();
-  return this->node.repeats.account(this->service->name,
-                                    this->node.fleet.most(now), now);
+  return this->node.retries.usage(this->service->name,
+                                  this->node.fleet.peak(now), now);
 }
 
-void request_run::log_repeat(const char* event) {
-  this->node.metrics.count_repeat(this->service->name, event);
+void request_handler::log_retry(const char* event) {
+  this->node.metrics.count_retry(this->service->name, event);
   const absl::Time now = this->node.now();
-  const repeat_account budget = this->repeats();
-  const std::optional<int> nodes = this->node.fleet.most(now);
-  this->node.log.write(log_weight::request, event,
+  const retry_usage budget = this->current_retry_usage();
+  const std::optional<int> nodes = this->node.fleet.peak(now);
+  this->node.log.write(log_category::request, event,
                        {{"id", this->info.id},
                         {"service", this->service->name},
-                        {"sends", absl::StrCat(this->sends)},
+                        {"sends", absl::StrCat(this->attempts_made)},
                         {"wait_ms", millis(now - this->attempt_ended_at)},
                         {"window_requests", absl::StrCat(budget.requests)},
-                        {"window_repeats", absl::StrCat(budget.repeats)},
+                        {"window_repeats", absl::StrCat(budget.retries)},
                         {"reserved", absl::StrCat(budget.reserved)},
-                        {"left", absl::StrCat(budget.left)},
+                        {"left", absl::StrCat(budget.remaining)},
                         {"nodes", nodes ? absl::StrCat(*nodes) : "unknown"},
                         {"live_nodes", absl::StrCat(this->node.live_nodes)},
                         {"up_ms", millis(now - this->node.started)}},
                        now);
 }
 
-void request_run::log_end(const char* outcome, const std::string& reason,
-                          unsigned status) {
+void request_handler::log_end(const char* outcome, const std::string& reason,
+                              unsigned status) {
   const absl::Time now = this->node.now();
   this->node.metrics.count_request(outcome, reason);
   this->node.metrics.observe_request(
       absl::ToDoubleSeconds(now - this->arrived));
   if (this->first_event_at != absl::InfiniteFuture()) {
     this->node.metrics.observe_pause(
-        absl::ToDoubleSeconds(this->longest_pause));
+        absl::ToDoubleSeconds(this->max_event_gap));
   }
   const absl::Time first = std::min(this->first_event_at, now);
   const std::optional<limit_report>& limit = this->chosen.limit;
   this->node.log.write(
-      log_weight::request, "request_ended",
+      log_category::request, "request_ended",
       {{"id", this->info.id},
        {"outcome", outcome},
        {"status", absl::StrCat(status)},
@@ -106,32 +107,35 @@
        {"due_ms", this->route == nullptr ? "" : millis(this->route->goal)},
        {"longest_gap_ms", this->route == nullptr || !this->route->streaming
                               ? ""
-                              : millis(this->route->pause_goal)},
+                              : millis(this->route->event_gap_goal)},
        {"model", this->info.model},
-       {"wait_ms", millis(this->waited_for_place)},
+       {"wait_ms", millis(this->queue_time)},
        {"place_expected_ms",
-        this->admitted ? millis(this->admitted->expected_wait) : ""},
+        this->last_decision ? millis(this->last_decision->expected_wait) : ""},
        {"come_back_ms",
-        this->admitted ? millis(this->admitted->retry_after) : ""},
-       {"error_ms", this->admitted ? absl::StrCat(static_cast<int>(
-                                         this->admitted->error_ms))
-                                   : ""},
-       {"sent_late", this->admitted && this->admitted->late ? "1" : "0"},
-       {"place", this->chosen.place},
-       {"near", this->chosen.near ? "1" : "0"},
+        this->last_decision ? millis(this->last_decision->retry_after) : ""},
+       {"error_ms", this->last_decision ? absl::StrCat(static_cast<int>(
+                                              this->last_decision->error_ms))
+                                        : ""},
+       {"sent_late",
+        this->last_decision && this->last_decision->late ? "1" : "0"},
+       {"place", this->chosen.endpoint},
+       {"near", this->chosen.local ? "1" : "0"},
        {"place_running", absl::StrCat(this->chosen.running)},
        {"predicted_ms",
         absl::StrCat(static_cast<int>(this->chosen.predicted_ms))},
        {"slowness", absl::StrCat(this->chosen.slowness)},
        {"limit_per_s", limit ? absl::StrCat(limit->per_s.value_or(0)) : ""},
        {"limit_age_ms", limit ? millis(limit->age) : ""},
-       {"identity", this->known_identity ? to_text(*this->known_identity) : ""},
-       {"sends", absl::StrCat(this->sends)},
-       {"runs", absl::StrCat(this->runs)},
-       {"repeats_left", absl::StrCat(static_cast<int>(this->repeats().left))},
+       {"identity",
+        this->cached_identity ? to_text(*this->cached_identity) : ""},
+       {"sends", absl::StrCat(this->attempts_made)},
+       {"runs", absl::StrCat(this->possible_runs)},
+       {"repeats_left",
+        absl::StrCat(static_cast<int>(this->current_retry_usage().remaining))},
        {"last_event", absl::StrCat(this->last_event)},
        {"first_ms", millis(first - this->arrived)},
-       {"pause_ms", millis(this->longest_pause)},
+       {"pause_ms", millis(this->max_event_gap)},
        {"total_ms", millis(now - this->arrived)},
        {"prompt", absl::StrCat(this->info.prompt_tokens)},
        {"config",
--- a/src/request-speed.cc
+++ b/src/request-speed.cc
@@ -1,84 +1,87 @@
-// What requests tell of the speed of groups and plain servers, and what places
-// count as for it.
-#include "request-run.h"
+// Measures the speed of groups and plain servers by the requests sent to them,
+// and applies the resulting slowness to the choice of an endpoint.
+#include "request-handler.h"
 
 namespace spokesail {
 
-seen_place request_run::seen(const request_place& place) const {
-  if (place.group.empty()) {
-    return {this->service->name, place.server, place.incarnation};
+endpoint_id request_handler::endpoint_id_of(
+    const endpoint_target& endpoint) const {
+  if (endpoint.group.empty()) {
+    return {this->service->name, endpoint.server, endpoint.incarnation};
   }
-  return {this->service->name + "/" + this->model->name, place.group,
-          place.epoch};
+  return {this->service->name + "/" + this->model->name, endpoint.group,
+          endpoint.epoch};
 }
 
-void request_run::note_time(const exchange& ex) {
+void request_handler::record_latency(const exchange& ex) {
   if (!this->node.settings.policy.learn_speeds) return;
   if (ex.expected_ms <= 0) return;
   const absl::Time now = this->node.now();
-  const double took = absl::ToDoubleMilliseconds(now - ex.sent_at);
-  this->node.speeds.note(this->seen(ex.place), took / ex.expected_ms, now);
+  const double elapsed_ms = absl::ToDoubleMilliseconds(now - ex.sent_at);
+  this->node.speeds.add_sample(this->endpoint_id_of(ex.endpoint),
+                               elapsed_ms / ex.expected_ms, now);
 }
 
-void request_run::note_answer(const exchange& ex) {
+void request_handler::record_response(const exchange& ex) {
   if (this->service->engine) return;
   if (ex.head().result_int() >= first_server_error) {
-    this->note_failure(ex);
+    this->record_failure(ex);
   } else {
-    this->note_time(ex);
+    this->record_latency(ex);
   }
 }
 
-void request_run::note_failure(const exchange& ex) {
+void request_handler::record_failure(const exchange& ex) {
   if (!this->node.settings.policy.learn_speeds) return;
   const absl::Time now = this->node.now();
-  const bool not_sent = ex.sent_at > now && now >= ex.place.send_by;
-  if (ex.left_unread || not_sent) return;
+  const bool not_sent = ex.sent_at > now && now >= ex.endpoint.send_by;
+  if (ex.caller_not_reading || not_sent) return;
   if (this->service->engine) {
-    const bool waited = !ex.writing && ex.sent_at <= now && ex.expected_ms > 0;
+    const bool waited =
+        !ex.events_started && ex.sent_at <= now && ex.expected_ms > 0;
     if (!waited) return;
-    const double took = absl::ToDoubleMilliseconds(now - ex.sent_at);
-    this->node.speeds.note_unanswered(this->seen(ex.place),
-                                      took / ex.expected_ms, now);
+    const double elapsed_ms = absl::ToDoubleMilliseconds(now - ex.sent_at);
+    this->node.speeds.add_unanswered(this->endpoint_id_of(ex.endpoint),
+                                     elapsed_ms / ex.expected_ms, now);
     return;
   }
   if (ex.aborted == abort_cause::caller_gone) return;
-  // A caller may wait for less than an answer takes.
-  const bool short_of_time = ex.aborted == abort_cause::time_up &&
-                             now - ex.sent_at < this->route->goal;
-  if (short_of_time) return;
-  this->node.speeds.note_failure(this->seen(ex.place), now);
+  // A caller's deadline may be shorter than a normal response time.
+  const bool deadline_before_goal = ex.aborted == abort_cause::time_up &&
+                                    now - ex.sent_at < this->route->goal;
+  if (deadline_before_goal) return;
+  this->node.speeds.record_failure(this->endpoint_id_of(ex.endpoint), now);
 }
 
-void request_run::weigh_slowness(const std::vector<const group_view*>& groups,
-                                 std::vector<group_option>& options) const {
+void request_handler::apply_slowness(
+    const std::vector<const group_view*>& groups,
+    std::vector<group_option>& options) const {
   if (!this->node.settings.policy.learn_speeds) return;
   const absl::Time now = this->node.now();
-  // Groups of this hall and of others are bounded apart.
-  for (const bool near : {true, false}) {
-    std::vector<size_t> part;
+  // Groups of this data hall and of the others are bounded separately.
+  for (const bool local : {true, false}) {
+    std::vector<size_t> indices;
     std::vector<double> slowness;
     for (size_t i = 0; i < groups.size(); ++i) {
       const server_entry* head = this->node.directory.find(groups[i]->head());
-      if (this->is_near(*head) != near) continue;
-      this->node.speeds.note_epoch({"", groups[i]->name, groups[i]->epoch},
-                                   now);
-      part.push_back(i);
+      if (this->is_local(*head) != local) continue;
+      this->node.speeds.set_epoch({"", groups[i]->name, groups[i]->epoch}, now);
+      indices.push_back(i);
       slowness.push_back(this->node.speeds.slowness(groups[i]->name, now));
     }
     slowness = bound_slowness(std::move(slowness));
-    for (size_t i = 0; i < part.size(); ++i) {
-      options[part[i]].slowness = slowness[i];
+    for (size_t i = 0; i < indices.size(); ++i) {
+      options[indices[i]].slowness = slowness[i];
     }
   }
 }
 
-std::vector<double> request_run::weigh_servers(
+std::vector<double> request_handler::server_slowness(
     const std::vector<const server_entry*>& servers) const {
   const absl::Time now = this->node.now();
   std::vector<double> out;
   for (const server_entry* entry : servers) {
-    this->node.speeds.note_epoch({"", entry->id, entry->incarnation}, now);
+    this->node.speeds.set_epoch({"", entry->id, entry->incarnation}, now);
     out.push_back(this->node.speeds.slowness(entry->id, now));
   }
   return bound_slowness(std::move(out));
--- a/src/server-feed.h
+++ b/src/server-feed.h
@@ -1,4 +1,4 @@
-// The servers' entries, as a node follows them in the platform's store.
+// Follows the servers' entries in the platform's store.
 #pragma once
 
 #include <absl/time/time.h>
@@ -10,51 +10,56 @@
 
 #include "node-context.h"
 #include "store-feed.h"
-#include "store-reach.h"
+#include "store-reachability.h"
 
 namespace spokesail {
 
 /// Keeps the node's directory of servers up to date.
 class server_feed : public store_feed {
  public:
-  server_feed(node_context& node, const store_reach& reach);
+  server_feed(node_context& node, const store_reachability& reachability);
 
   /// Called whenever the servers have changed.
   std::function<void()> on_change;
-  /// Whether a relay is about to tell of all servers.
-  std::function<bool()> awaited;
-  /// Whether news of servers is wanted without delay.
-  std::function<bool()> urgent;
+  /// Whether a relay is expected to send all servers soon.
+  std::function<bool()> expected_from_relay;
+  /// Whether changes of servers are needed without delay.
+  std::function<bool()> low_latency_needed;
 
   absl::Duration wait(bool first) override;
   bool may_list() const override;
   bool must_list() const override;
   int64_t known_revision() const override;
-  bool may_copy() const override { return false; }
-  bool holds_wanted(const object_listing&) const override { return false; }
-  void take_listing(const object_listing& listing, absl::Time proof) override;
-  absl::Duration take_changes(const object_changes& changes,
-                              absl::Time sent) override;
+  bool allows_stale_copy() const override { return false; }
+  bool contains_requested(const object_listing&) const override {
+    return false;
+  }
+  void apply_listing(const object_listing& listing,
+                     absl::Time verified_at) override;
+  absl::Duration apply_changes(const object_changes& changes,
+                               absl::Time sent) override;
 
  private:
-  void take_entries(const std::vector<object>& objects, int64_t revision);
-  void take_entry(const object& o);
-  /// An entry of a revision, with its times on this node's clock.
+  void apply_entries(const std::vector<object>& objects, int64_t revision);
+  void apply_entry(const object& o);
+  /// Converts an entry of a revision, with its times on this node's clock.
   listed_server to_listed(const server_entry& entry, int64_t revision) const;
-  /// Nothing, with a line that says why, if an entry names no server to use.
-  std::optional<server_entry> read(const object& o);
-  /// Takes note that an entry names no server, whatever it said before.
-  void drop(const object& o);
-  /// Takes note that all changes up to a time are known.
-  void take_proof(absl::Time proof);
-  /// Takes the end of an entry, which counts as there until `keep_until`.
-  void take_removal(const object& o, int64_t revision, absl::Time keep_until);
+  /// Parses an entry. Returns nothing, and logs why, if it describes no usable
+  /// server.
+  std::optional<server_entry> parse_entry(const object& o);
+  /// Removes a server whose entry is unusable, even if earlier entries of it
+  /// were not.
+  void remove_unusable(const object& o);
+  /// Records that all changes up to a time are known.
+  void advance_verified_at(absl::Time verified_at);
+  /// Applies the end of an entry, which counts as present until `keep_until`.
+  void apply_removal(const object& o, int64_t revision, absl::Time keep_until);
   /// Until when entries that are missing after an outage are kept; infinite
   /// past if there was none.
   absl::Time keep_missing_until() const;
 
   node_context& node;
-  const store_reach& reach;
+  const store_reachability& reachability;
 };
 
 }  // namespace spokesail
--- a/src/settings.cc
+++ b/src/settings.cc
@@ -8,8 +8,8 @@
 constexpr int64_t minute_ms = 60 * 1000;
 
 void read_timing(yaml_map timing, node_options& node) {
-  node.beat_period =
-      timing.milliseconds("beat_ms", node.beat_period, 50, minute_ms);
+  node.heartbeat_period =
+      timing.milliseconds("beat_ms", node.heartbeat_period, 50, minute_ms);
   node.probe_period =
       timing.milliseconds("probe_ms", node.probe_period, 50, minute_ms);
   node.probe_deadline = timing.milliseconds("probe_deadline_ms",
@@ -25,24 +25,24 @@
   lease_timing& lease = node.controller.lease;
   lease.duration =
       timing.milliseconds("lease_ms", lease.duration, 1000, 10 * minute_ms);
-  lease.renew_every = timing.milliseconds("lease_renew_ms", lease.renew_every,
-                                          100, 10 * minute_ms);
+  lease.renew_period = timing.milliseconds("lease_renew_ms", lease.renew_period,
+                                           100, 10 * minute_ms);
   lease.margin =
       timing.milliseconds("lease_margin_ms", lease.margin, 100, minute_ms);
   node.controller.order_deadline = timing.milliseconds(
       "order_deadline_ms", node.controller.order_deadline, 100, minute_ms);
   node.controller.drain_settle = timing.milliseconds(
       "drain_settle_ms", node.controller.drain_settle, 100, minute_ms);
-  if (lease.renew_every + lease.margin >= lease.duration) {
-    timing.fault("lease_renew_ms", absl::FormatDuration(lease.renew_every),
-                 "less than lease_ms without lease_margin_ms");
+  if (lease.renew_period + lease.margin >= lease.duration) {
+    timing.add_fault("lease_renew_ms", absl::FormatDuration(lease.renew_period),
+                     "less than lease_ms without lease_margin_ms");
   }
-  if (node.presence_window < node.probe_period + node.beat_period) {
-    timing.fault("presence_window_ms",
-                 absl::FormatDuration(node.presence_window),
-                 "at least probe_ms and beat_ms together");
+  if (node.presence_window < node.probe_period + node.heartbeat_period) {
+    timing.add_fault("presence_window_ms",
+                     absl::FormatDuration(node.presence_window),
+                     "at least probe_ms and beat_ms together");
   }
-  timing.finish();
+  timing.check_unknown_keys();
 }
 
 void read_limits(yaml_map limits, entry_limits& out) {
@@ -51,7 +51,7 @@
   out.body_bytes = limits.integer("body_bytes", out.body_bytes, 1024, 64 << 20);
   out.read_deadline = limits.milliseconds("read_deadline_ms", out.read_deadline,
                                           100, minute_ms);
-  limits.finish();
+  limits.check_unknown_keys();
 }
 
 }  // namespace
@@ -69,15 +69,15 @@
   out.platform_address = platform.address("address", true);
   out.platform_deadline = platform.milliseconds(
       "deadline_ms", out.platform_deadline, 100, minute_ms);
-  platform.finish();
+  platform.check_unknown_keys();
   for (auto& peer : root.maps("peers")) {
     out.peers.push_back({peer.name("hall"), peer.address("address", true)});
-    peer.finish();
+    peer.check_unknown_keys();
   }
   read_limits(root.map("limits"), out.limits);
   out.node.self = out.self;
   read_timing(root.map("timing"), out.node);
-  root.finish();
+  root.check_unknown_keys();
   if (!error.faults.empty()) return boost::leaf::new_error(std::move(error));
   return out;
 }
--- a/src/store-sync.cc
+++ b/src/store-sync.cc
@@ -1,4 +1,4 @@
-// The lists and watches of a node.
+// Lists and watches of the platform's store.
 #include "store-sync.h"
 
 #include <absl/strings/str_cat.h>
@@ -10,30 +10,36 @@
 
 namespace net = boost::asio;
 
-/// Pauses after failed calls of nodes that others rely on, and of the others.
-/// An outage is noticed by the former; the latter only look in case the store
-/// turns away just those.
-constexpr absl::Duration first_pause = absl::Milliseconds(150);
-constexpr absl::Duration longest_pause = absl::Milliseconds(900);
-constexpr absl::Duration first_slow_pause = absl::Milliseconds(600);
-constexpr absl::Duration longest_slow_pause = absl::Milliseconds(2400);
+/// Bounds of the delay after a failed call. Nodes that others may follow use
+/// the shorter delays and detect the end of an outage for all. The other nodes
+/// retry only in case the store rejects just their calls.
+constexpr absl::Duration min_retry_delay = absl::Milliseconds(150);
+constexpr absl::Duration max_retry_delay = absl::Milliseconds(900);
+constexpr absl::Duration min_slow_retry_delay = absl::Milliseconds(600);
+constexpr absl::Duration max_slow_retry_delay = absl::Milliseconds(2400);
 
-/// How soon a node notices that it has to watch, or may call again.
-constexpr absl::Duration look_again = absl::Milliseconds(50);
+/// Interval at which a node checks whether it must watch or may list.
+constexpr absl::Duration recheck_interval = absl::Milliseconds(50);
 
 }  // namespace
 
 store_sync::store_sync(node_context& state)
     : node(state),
-      reach(state),
+      reachability(state),
       config(state),
-      servers(state, this->reach),
+      servers(state, this->reachability),
       evacuations(state) {
   this->config.on_change = [this] { this->on_change(); };
   this->servers.on_change = [this] { this->on_change(); };
-  this->servers.urgent = [this] { return this->urgent(); };
-  this->servers.awaited = [this] { return this->awaits_servers(); };
-  this->evacuations.awaited = [this] { return this->awaits_evacuations(); };
+  this->servers.low_latency_needed = [this] {
+    return this->low_latency_needed();
+  };
+  this->servers.expected_from_relay = [this] {
+    return this->expects_servers();
+  };
+  this->evacuations.expected_from_relay = [this] {
+    return this->expects_evacuations();
+  };
 }
 
 net::awaitable<void> store_sync::follow_config() {
@@ -49,23 +55,23 @@
 }
 
 net::awaitable<void> store_sync::follow(store_feed& feed) {
-  backoff pauses(first_pause, longest_pause);
-  bool begun = false;
+  backoff delays(min_retry_delay, max_retry_delay);
+  bool started = false;
   for (;;) {
     if (!feed.may_list()) {
-      co_await this->node.sleep(look_again);
+      co_await this->node.sleep(recheck_interval);
       continue;
     }
-    // A relay may have told of everything before the first list.
+    // A relay may have sent all servers before the first list.
     int64_t revision = feed.known_revision();
-    bool answered = !begun && revision > 0 && !feed.must_list();
-    begun = true;
+    bool answered = !started && revision > 0 && !feed.must_list();
+    started = true;
     if (!answered) answered = co_await this->list(feed, revision);
     if (answered) {
-      pauses.reset();
+      delays.reset();
       answered = co_await this->follow_changes(feed, revision);
     }
-    if (!answered) co_await this->node.sleep(this->retry_pause(pauses));
+    if (!answered) co_await this->node.sleep(this->retry_delay(delays));
   }
 }
 
@@ -73,14 +79,14 @@
                                                 int64_t revision) {
   bool first = true;
   for (;;) {
-    if (this->watches()) {
+    if (this->watches_directly()) {
       const bool answered = co_await this->watch_once(feed, revision, first);
       if (!answered) co_return false;
       first = false;
       continue;
     }
     first = true;
-    co_await this->node.sleep(look_again);
+    co_await this->node.sleep(recheck_interval);
     if (feed.must_list()) co_return true;
     revision = std::max(revision, feed.known_revision());
   }
@@ -93,21 +99,22 @@
       co_await this->node.store.watch(feed.kind, revision, feed.wait(first));
   this->node.metrics.count_store_call(feed.watch_name,
                                       store_status_name(changes.status));
-  const bool away = changes.status == store_status::unavailable;
-  if (feed.tells_reach()) this->reach.note(!away, changes.error);
+  const bool unavailable = changes.status == store_status::unavailable;
+  if (feed.indicates_reachability())
+    this->reachability.record_call(!unavailable, changes.error);
   if (changes.status != store_status::ok) co_return false;
   revision = std::max(revision, changes.revision);
   changes.revision = revision;
-  const absl::Duration pause = feed.take_changes(changes, sent);
-  if (pause > absl::ZeroDuration()) co_await this->node.sleep(pause);
+  const absl::Duration delay = feed.apply_changes(changes, sent);
+  if (delay > absl::ZeroDuration()) co_await this->node.sleep(delay);
   co_return true;
 }
 
 net::awaitable<bool> store_sync::list(store_feed& feed, int64_t& revision) {
-  if (feed.may_copy()) {
-    bool enough = co_await this->list_from_peer(feed, revision);
-    if (!enough) enough = co_await this->list_copy(feed, revision);
-    if (enough) co_return true;
+  if (feed.allows_stale_copy()) {
+    bool found = co_await this->list_from_peer(feed, revision);
+    if (!found) found = co_await this->list_stale_copy(feed, revision);
+    if (found) co_return true;
   }
   const absl::Time sent = this->node.now();
   const object_listing listing =
@@ -115,51 +122,52 @@
   const bool ok = listing.status == store_status::ok;
   this->node.metrics.count_store_call(feed.list_name,
                                       store_status_name(listing.status));
-  if (feed.tells_reach()) this->reach.note(ok, listing.error);
+  if (feed.indicates_reachability())
+    this->reachability.record_call(ok, listing.error);
   if (!ok) co_return false;
-  feed.take_listing(listing, sent);
+  feed.apply_listing(listing, sent);
   revision = listing.revision;
   co_return true;
 }
 
 net::awaitable<bool> store_sync::list_from_peer(store_feed& feed,
                                                 int64_t& revision) {
-  const object_listing listing = co_await this->ask_peer();
-  const bool enough =
-      listing.status == store_status::ok && feed.holds_wanted(listing);
-  if (!enough) {
-    this->node.log.belief("peer_has_not",
-                          {{"kind", feed.kind}, {"why", listing.error}},
-                          this->node.now());
+  const object_listing listing = co_await this->fetch_from_peer();
+  const bool found =
+      listing.status == store_status::ok && feed.contains_requested(listing);
+  if (!found) {
+    this->node.log.state_change("peer_has_not",
+                                {{"kind", feed.kind}, {"why", listing.error}},
+                                this->node.now());
     co_return false;
   }
-  feed.take_listing(listing, absl::InfinitePast());
+  feed.apply_listing(listing, absl::InfinitePast());
   revision = listing.revision;
   co_return true;
 }
 
-net::awaitable<bool> store_sync::list_copy(store_feed& feed,
-                                           int64_t& revision) {
+net::awaitable<bool> store_sync::list_stale_copy(store_feed& feed,
+                                                 int64_t& revision) {
   const object_listing listing =
       co_await this->node.store.list(feed.kind, true);
-  const bool enough =
-      listing.status == store_status::ok && feed.holds_wanted(listing);
+  const bool found =
+      listing.status == store_status::ok && feed.contains_requested(listing);
   this->node.metrics.count_store_call(
       absl::StrCat(feed.list_name, "_copy"),
-      enough ? store_status_name(listing.status) : "old");
-  if (!enough) co_return false;
-  feed.take_listing(listing, absl::InfinitePast());
+      found ? store_status_name(listing.status) : "old");
+  if (!found) co_return false;
+  feed.apply_listing(listing, absl::InfinitePast());
   revision = listing.revision;
   co_return true;
 }
 
-absl::Duration store_sync::retry_pause(backoff& pauses) {
-  if (this->relied_on()) {
-    pauses.set_bounds(first_pause, longest_pause);
+absl::Duration store_sync::retry_delay(backoff& delays) {
+  if (this->may_have_followers()) {
+    delays.set_bounds(min_retry_delay, max_retry_delay);
   } else {
-    pauses.set_bounds(first_slow_pause, longest_slow_pause);
+    delays.set_bounds(min_slow_retry_delay, max_slow_retry_delay);
   }
-  return pauses.next(this->node.random);
+  return delays.next(this->node.random);
 }
 
 }  // namespace spokesail
--- a/standin/fleet-steering.cc
+++ b/standin/fleet-control.cc
@@ -1,5 +1,5 @@
-// The calls by which a soak steers the fleet.
-#include "fleet-steering.h"
+// Implementation of the control calls.
+#include "fleet-control.h"
 
 #include <absl/time/clock.h>
 
@@ -7,7 +7,7 @@
 
 using json = nlohmann::json;
 
-json fleet_steering::carry_out(const std::string& call, const json& body) {
+json fleet_control::handle(const std::string& call, const json& body) {
   if (call == "/address") return {{"store", this->fleet.store_address()}};
   if (call == "/record") return this->record();
   if (call == "/keys") {
@@ -16,7 +16,7 @@
   }
   if (call == "/faults") return this->set_faults(body);
   if (call == "/dark") {
-    this->fleet.engines().set_dark(body.at("server"), body.at("dark"));
+    this->fleet.engines().set_isolated(body.at("server"), body.at("dark"));
     return json::object();
   }
   if (call == "/drain") {
@@ -26,15 +26,15 @@
   return nullptr;
 }
 
-json fleet_steering::record() const {
+json fleet_control::record() const {
   return {{"runs", this->fleet.record.runs},
           {"workspaces", this->fleet.record.workspaces},
           {"breaches", this->fleet.engines().breaches()},
-          {"servers", this->fleet.engines().living()},
+          {"servers", this->fleet.engines().live_servers()},
           {"serving", this->fleet.serving("large")}};
 }
 
-json fleet_steering::set_faults(const json& body) {
+json fleet_control::set_faults(const json& body) {
   fleet_faults& f = this->fleet.faults;
   f.store_silent = body.value("store_silent", f.store_silent);
   f.lose_plain_answers = body.value("lose_plain_answers", f.lose_plain_answers);
--- a/standin/fleet-sample.cc
+++ b/standin/fleet-sample.cc
@@ -5,7 +5,7 @@
 
 using json = nlohmann::json;
 
-/// The figures of `small_service` as the configuration states them.
+/// The engine profile of `small_service` in the format of the configuration.
 json engine_json() {
   return {{"slots", 8},
           {"kv_capacity", 100000},
@@ -73,10 +73,10 @@
 backend_service small_service() {
   engine_profile engine;
   engine.slots = 8;
-  engine.stride = 5;
+  engine.decode_steps_per_pass = 5;
   engine.step_ms = 3;
-  engine.read_tokens_per_ms = 46;
-  engine.read_chunk = 2048;
+  engine.prefill_tokens_per_ms = 46;
+  engine.prefill_chunk = 2048;
   engine.loads_per_s = 4;
   engine.loads_at_once = 6;
   engine.open_time = absl::Milliseconds(30);
@@ -105,7 +105,7 @@
 }
 
 json sample_config_json(const std::vector<std::string>& keys) {
-  // Each configuration is newer than the last.
+  // Each configuration gets a higher version than the one before.
   static int64_t version = 0;
   return {{"version", ++version},
           {"routes", routes_json()},
--- a/test/admission-bench.cc
+++ b/test/admission-bench.cc
@@ -1,4 +1,4 @@
-// What one decision of admission costs with many groups and a full queue.
+// Measures one admission decision with many groups and a full queue.
 #include <absl/strings/str_cat.h>
 #include <benchmark/benchmark.h>
 
@@ -10,11 +10,11 @@
 engine_profile bench_engine() {
   engine_profile out;
   out.slots = 34;
-  out.stride = 5;
+  out.decode_steps_per_pass = 5;
   out.step_ms = 6;
-  out.read_tokens_per_ms = 46;
-  out.usual_prompt = 714;
-  out.usual_answer = 115;
+  out.prefill_tokens_per_ms = 46;
+  out.mean_prompt_tokens = 714;
+  out.mean_answer_tokens = 115;
   out.models = {{"small", 4, 1, 1, absl::Seconds(12), absl::Seconds(1)}};
   return out;
 }
@@ -36,8 +36,8 @@
   return out;
 }
 
-/// A look of the request at the end of the queue, with some groups and as many
-/// requests waiting.
+/// Decides on the last request in the queue, for a number of groups and of
+/// waiting requests.
 void decide(benchmark::State& state) {
   const absl::Time now = absl::UnixEpoch() + absl::Hours(1);
   const engine_profile engine = bench_engine();
@@ -51,11 +51,11 @@
   random_stream random{std::mt19937_64(1)};
   uint64_t id = 0;
   const auto waiting = static_cast<uint64_t>(state.range(1));
-  while (id < waiting) admission.enter(bench_request(++id, now), now);
+  while (id < waiting) admission.enqueue(bench_request(++id, now), now);
   const auto last = bench_request(id, now);
   for (auto _ : state) {
-    const auto answer = admission.decide(last, view, now, random);
-    if (answer.verdict != admission_verdict::wait) admission.enter(last, now);
+    const auto decision = admission.decide(last, view, now, random);
+    if (decision.action != admission_action::wait) admission.enqueue(last, now);
   }
   state.counters["waiting"] =
       static_cast<double>(admission.waiting("lm/small"));
--- /dev/null
+++ b/test/crash-tracker-test.cc
@@ -0,0 +1,202 @@
+// Tests for the detection of requests that crash servers: quarantine, what
+// clears a request, bounds, and the merge of evidence.
+#include "spokesail/crash-tracker.h"
+
+#include <gtest/gtest.h>
+#include <rapidcheck/gtest.h>
+
+namespace spokesail {
+namespace {
+
+const absl::Time start = absl::UnixEpoch();
+const request_identity crashing{1, 10};
+const server_crash begun{run_progress::start, true, true};
+const server_crash waiting{run_progress::start, false, true};
+const request_identity harmless{1, 11};
+
+uint64_t server(int i) { return incarnation_hash("s" + std::to_string(i), 1); }
+
+TEST(request_identity, components_are_delimited) {
+  EXPECT_NE(identify_request("w", "GET", "h", "/ab", "c"),
+            identify_request("w", "GET", "h", "/a", "bc"));
+  EXPECT_NE(identify_request("w", "GET", "h", "/a", ""),
+            identify_request("v", "GET", "h", "/a", ""));
+}
+
+TEST(crash_tracker, quarantines_after_three_crashes) {
+  crash_tracker tracker;
+  for (int i = 0; i < 2; ++i) {
+    tracker.add_crash(crashing, server(i), begun, start);
+  }
+  EXPECT_FALSE(tracker.quarantined(crashing));
+  tracker.add_crash(crashing, server(1), begun, start);
+  EXPECT_FALSE(tracker.quarantined(crashing)) << "one server counted twice";
+  tracker.add_crash(crashing, server(2), begun, start);
+  EXPECT_TRUE(tracker.quarantined(crashing));
+}
+
+TEST(crash_tracker, needs_four_crashes_if_the_answers_had_not_begun) {
+  crash_tracker tracker;
+  for (int i = 0; i < 3; ++i) {
+    tracker.add_crash(crashing, server(i), waiting, start);
+  }
+  EXPECT_FALSE(tracker.quarantined(crashing));
+  tracker.add_crash(crashing, server(3), waiting, start);
+  EXPECT_TRUE(tracker.quarantined(crashing));
+}
+
+TEST(crash_tracker, simultaneous_crashes_do_not_quarantine) {
+  crash_tracker tracker;
+  for (int i = 0; i < 8; ++i) {
+    tracker.add_crash(harmless, server(i), {run_progress::start, true, false},
+                      start);
+  }
+  EXPECT_FALSE(tracker.quarantined(harmless));
+}
+
+TEST(crash_tracker, two_crashing_requests_do_not_clear_each_other) {
+  crash_tracker tracker;
+  const request_identity second{2, 20};
+  for (int i = 0; i < 4; ++i) {
+    tracker.add_crash(crashing, server(i), begun, start);
+  }
+  for (int i = 0; i < 3; ++i) {
+    tracker.add_crash(second, server(i), begun, start);
+  }
+  EXPECT_TRUE(tracker.quarantined(crashing));
+  EXPECT_TRUE(tracker.quarantined(second));
+}
+
+TEST(crash_tracker, restarted_server_counts_again) {
+  EXPECT_NE(incarnation_hash("s", 1), incarnation_hash("s", 2));
+}
+
+TEST(crash_tracker, further_progress_clears_a_request) {
+  crash_tracker tracker;
+  tracker.add_crash(harmless, server(0), begun, start);
+  tracker.add_progress(harmless, 4, start);
+  tracker.add_crash(harmless, server(1), server_crash{4, true, true}, start);
+  tracker.add_progress(harmless, 9, start);
+  tracker.add_crash(harmless, server(2), server_crash{9, true, true}, start);
+  EXPECT_EQ(tracker.crash_count(harmless), 1U);
+  EXPECT_FALSE(tracker.quarantined(harmless));
+}
+
+TEST(crash_tracker, quarantines_if_all_crashes_are_at_the_same_event) {
+  crash_tracker tracker;
+  for (int i = 0; i < 3; ++i)
+    tracker.add_crash(crashing, server(i), server_crash{7, true, true}, start);
+  EXPECT_TRUE(tracker.quarantined(crashing));
+}
+
+TEST(crash_tracker, complete_answer_lifts_quarantine) {
+  crash_tracker tracker;
+  for (int i = 0; i < 3; ++i) {
+    tracker.add_crash(harmless, server(i), begun, start);
+  }
+  ASSERT_TRUE(tracker.quarantined(harmless));
+  tracker.add_progress(harmless, run_progress::completed, start);
+  EXPECT_FALSE(tracker.quarantined(harmless));
+  EXPECT_TRUE(tracker.requests_over_threshold().empty());
+}
+
+TEST(crash_tracker,
+     does_not_quarantine_a_request_queued_beside_a_crashing_one) {
+  crash_tracker tracker;
+  for (int i = 0; i < 5; ++i) {
+    tracker.add_crash(crashing, server(i), begun, start);
+  }
+  for (int i = 0; i < 4; ++i) {
+    tracker.add_crash(harmless, server(i), waiting, start);
+  }
+  EXPECT_TRUE(tracker.quarantined(crashing));
+  EXPECT_FALSE(tracker.quarantined(harmless));
+}
+
+TEST(crash_tracker, drops_expired_evidence_and_rejects_it_from_peers) {
+  crash_tracker tracker;
+  for (int i = 0; i < 3; ++i) {
+    tracker.add_crash(crashing, server(i), begun, start);
+  }
+  const auto update =
+      tracker.update_for(crashing, start + crash_tracker::retention);
+  ASSERT_TRUE(update);
+  tracker.expire(start + crash_tracker::retention);
+  EXPECT_TRUE(tracker.empty());
+  tracker.merge_update(*update, start + crash_tracker::retention);
+  EXPECT_TRUE(tracker.empty());
+  EXPECT_FALSE(tracker.quarantined(crashing));
+}
+
+TEST(crash_tracker, a_workspace_cannot_evict_all_records_of_others) {
+  crash_tracker tracker;
+  for (int i = 0; i < 3; ++i) {
+    tracker.add_crash(crashing, server(i), begun, start);
+  }
+  const request_identity other{2, 1};
+  for (int i = 0; i < 3; ++i) {
+    tracker.add_crash(other, server(i), begun, start);
+  }
+  for (uint64_t i = 100; i < 3 * crash_tracker::max_requests; ++i) {
+    tracker.add_crash({1, i}, server(0), begun, start + absl::Seconds(1));
+  }
+  EXPECT_LE(tracker.size(), crash_tracker::max_requests);
+  EXPECT_TRUE(tracker.quarantined(crashing));
+  EXPECT_TRUE(tracker.quarantined(other));
+}
+
+TEST(crash_tracker, is_bounded_over_many_workspaces) {
+  crash_tracker tracker;
+  for (uint64_t i = 0; i < 2 * crash_tracker::max_requests; ++i) {
+    tracker.add_crash({i % 100, i}, server(0), begun, start);
+  }
+  EXPECT_LE(tracker.size(), crash_tracker::max_requests);
+}
+
+TEST(crash_tracker, returns_evidence_to_a_peer_with_less) {
+  crash_tracker tracker;
+  for (int i = 0; i < 3; ++i) {
+    tracker.add_crash(harmless, server(i), begun, start);
+  }
+  const auto before = tracker.update_for(harmless, start);
+  tracker.add_progress(harmless, run_progress::completed, start);
+  tracker.take_changes();
+  tracker.merge_update(*before, start);
+  EXPECT_EQ(tracker.take_changes(), std::vector<request_identity>{harmless});
+  EXPECT_FALSE(tracker.quarantined(harmless));
+}
+
+/// Evidence on at most as many servers as are kept, so that none is removed.
+rc::Gen<crash_evidence> any_evidence() {
+  const auto crash =
+      rc::gen::tuple(rc::gen::inRange<uint64_t>(0, crash_evidence::max_crashes),
+                     rc::gen::inRange<int64_t>(-1, 6),
+                     rc::gen::arbitrary<bool>(), rc::gen::arbitrary<bool>());
+  return rc::gen::map(
+      rc::gen::pair(
+          rc::gen::container<
+              std::vector<std::tuple<uint64_t, int64_t, bool, bool>>>(crash),
+          rc::gen::element<int64_t>(-1, 0, 2, 5, run_progress::completed)),
+      [](const auto& parts) {
+        crash_evidence out;
+        out.passed = parts.second;
+        for (const auto& [server, point, begun, repeated] : parts.first) {
+          out = merge(
+              out, {{{server, {point, begun, repeated}}}, run_progress::start});
+        }
+        return out;
+      });
+}
+
+RC_GTEST_PROP(crash_evidence, merge_is_commutative_associative_and_idempotent,
+              ()) {
+  const auto a = *any_evidence();
+  const auto b = *any_evidence();
+  const auto c = *any_evidence();
+  RC_ASSERT(merge(a, b) == merge(b, a));
+  RC_ASSERT(merge(merge(a, b), c) == merge(a, merge(b, c)));
+  RC_ASSERT(merge(merge(a, b), b) == merge(a, b));
+}
+
+}  // namespace
+}  // namespace spokesail
--- a/test/evacuation-test.cc
+++ b/test/evacuation-test.cc
@@ -1,5 +1,5 @@
-// Nodes before a fleet of two data halls, of which operators evacuate some.
-// Outcomes are asserted, never how long something took.
+// Nodes with a fleet of two data halls, some of which operators evacuate. The
+// tests check outcomes, not durations.
 #include "node-fixture.h"
 
 namespace spokesail {
@@ -10,11 +10,11 @@
 const std::string near_hall = fleet_standin::hall_of(0);
 const std::string far_hall = fleet_standin::hall_of(1);
 
-/// Nodes of one data hall that follow evacuations, before servers in two.
+/// Nodes of one data hall that follow evacuations, with servers in two.
 class evacuation_test : public node_test {
  protected:
   evacuation_test() : node_test(4, 2) {
-    this->evacuate_time = absl::Seconds(5);
+    this->evacuate_deadline = absl::Seconds(5);
     this->keys_fail_closed = false;
   }
 
@@ -32,7 +32,7 @@
     });
   }
 
-  /// Waits until each node that answers callers knows whether a hall is closed.
+  /// Waits until each ready node has the expected state of a hall.
   bool wait_for(const std::string& hall, bool closed) {
     return this->wait_until([&] {
       return std::all_of(this->nodes.begin(), this->nodes.end(),
@@ -42,20 +42,24 @@
     });
   }
 
-  int taken_in(const std::string& hall) {
-    return this->on_loop([&] { return this->fleet->record.taken_in[hall]; });
+  int requests_by_hall(const std::string& hall) {
+    return this->on_loop(
+        [&] { return this->fleet->record.requests_by_hall[hall]; });
   }
 
-  /// Sends some requests of each kind to each node. Whether all were served.
+  /// Sends some requests of each kind to each node. Returns whether all were
+  /// served.
   bool all_served() {
     bool served = true;
     for (size_t i = 0; i < this->nodes.size(); ++i) {
       const int node = static_cast<int>(i);
       for (int k = 0; k < 4; ++k) {
         const std::string id = absl::StrCat("r", ++this->sent);
-        const auto stream = this->ask(stream_request(id), node);
-        const auto call = this->ask(request(id + "c", "/look/a"), node);
-        const auto once = this->ask(request(id + "o", "/file/a"), node);
+        const auto stream = this->send_request(stream_request(id), node);
+        const auto call =
+            this->send_request(request(id + "c", "/look/a"), node);
+        const auto once =
+            this->send_request(request(id + "o", "/file/a"), node);
         served = served && event_ids(stream.body()) == all_ids() &&
                  call.result_int() == 200 && once.result_int() == 200;
       }
@@ -78,31 +82,32 @@
 TEST_F(evacuation_test, no_node_sends_to_an_evacuated_hall) {
   this->start(3);
   EXPECT_TRUE(this->all_served());
-  EXPECT_GT(this->taken_in(near_hall), 0);
+  EXPECT_GT(this->requests_by_hall(near_hall), 0);
   this->evacuate(near_hall);
   ASSERT_TRUE(this->wait_for(near_hall, true));
-  const int before = this->taken_in(near_hall);
+  const int before = this->requests_by_hall(near_hall);
   EXPECT_TRUE(this->all_served());
-  EXPECT_EQ(this->taken_in(near_hall), before);
+  EXPECT_EQ(this->requests_by_hall(near_hall), before);
 }
 
-TEST_F(evacuation_test, repeats_and_resumed_streams_go_to_no_such_hall) {
+TEST_F(evacuation_test, repeats_and_resumed_streams_avoid_evacuated_halls) {
   this->start(1);
   this->evacuate(near_hall);
   ASSERT_TRUE(this->wait_for(near_hall, true));
   for (int i = 0; i < 4; ++i) {
     this->on_loop([&] { return this->fleet->faults.break_after_events = 4; });
-    const auto answer = this->ask(stream_request(absl::StrCat("r", i)));
+    const auto answer =
+        this->send_request(stream_request(absl::StrCat("r", i)));
     EXPECT_EQ(event_ids(answer.body()), all_ids());
     EXPECT_EQ(this->runs(absl::StrCat("r", i)), 2);
   }
   this->on_loop([&] { return this->fleet->faults.fail_plain_calls = 1; });
-  this->ask(request("c", "/look/a"));
+  this->send_request(request("c", "/look/a"));
   EXPECT_EQ(this->runs("c"), 1);
-  EXPECT_EQ(this->taken_in(near_hall), 0);
+  EXPECT_EQ(this->requests_by_hall(near_hall), 0);
 }
 
-TEST_F(evacuation_test, what_runs_there_ends_there) {
+TEST_F(evacuation_test, running_requests_finish_in_an_evacuated_hall) {
   this->start(1);
   auto socket = this->connect();
   auto out = stream_request("r1");
@@ -123,7 +128,8 @@
   EXPECT_EQ(this->runs("r1"), 1);
 }
 
-TEST_F(evacuation_test, a_node_that_the_store_turns_away_hears_of_it) {
+TEST_F(evacuation_test,
+       node_rejected_by_the_store_learns_of_evacuations_from_peers) {
   this->start(3);
   const size_t away = this->follower();
   this->on_loop([&] {
@@ -132,36 +138,36 @@
   });
   this->evacuate(near_hall);
   ASSERT_TRUE(this->wait_for(near_hall, true));
-  const int before = this->taken_in(near_hall);
+  const int before = this->requests_by_hall(near_hall);
   EXPECT_TRUE(this->all_served());
-  EXPECT_EQ(this->taken_in(near_hall), before);
+  EXPECT_EQ(this->requests_by_hall(near_hall), before);
   this->end_evacuation(near_hall);
   EXPECT_TRUE(this->wait_for(near_hall, false));
 }
 
-TEST_F(evacuation_test, a_node_that_starts_during_one_sends_nothing_there) {
+TEST_F(evacuation_test, node_started_during_an_evacuation_sends_nothing_there) {
   this->start(2);
   this->evacuate(near_hall);
   ASSERT_TRUE(this->wait_for(near_hall, true));
-  const int before = this->taken_in(near_hall);
+  const int before = this->requests_by_hall(near_hall);
   this->on_loop([&] {
-    // It can only hear of them.
+    // The store refuses it the list, so that it depends on its peers.
     this->fleet->faults.refused_kinds["node-2"] = {"evacuations"};
     this->add_node("node-2");
     return 0;
   });
   ASSERT_TRUE(this->wait_until([&] {
-    // From its start on, and not only once it is ready.
+    // From its start on, not only once it is ready.
     EXPECT_TRUE(this->nodes[2]->context().hall_closed(near_hall));
     return this->nodes[2]->context().evacuations.known();
   }));
   ASSERT_TRUE(
       this->wait_until([&] { return this->nodes[2]->context().ready(); }));
   EXPECT_TRUE(this->all_served());
-  EXPECT_EQ(this->taken_in(near_hall), before);
+  EXPECT_EQ(this->requests_by_hall(near_hall), before);
 }
 
-TEST_F(evacuation_test, a_node_that_does_not_know_them_is_not_ready) {
+TEST_F(evacuation_test, node_without_evacuation_state_is_not_ready) {
   this->fleet->faults.refused_kinds["node-0"] = {"evacuations"};
   this->add_node("node-0");
   this->run();
@@ -171,7 +177,7 @@
   }));
   EXPECT_FALSE(
       this->on_loop([&] { return this->nodes[0]->context().ready(); }));
-  const auto answer = this->ask(request("r1", "/look/a"));
+  const auto answer = this->send_request(request("r1", "/look/a"));
   EXPECT_EQ(answer.result_int(), 503U);
   EXPECT_EQ(this->runs("r1"), 0);
   this->on_loop([&] {
@@ -180,18 +186,18 @@
   });
   ASSERT_TRUE(
       this->wait_until([&] { return this->nodes[0]->context().ready(); }));
-  EXPECT_EQ(this->ask(request("r2", "/look/a")).result_int(), 200U);
+  EXPECT_EQ(this->send_request(request("r2", "/look/a")).result_int(), 200U);
 }
 
-TEST_F(evacuation_test, a_hall_that_is_taken_back_serves_again) {
+TEST_F(evacuation_test, hall_serves_again_after_its_evacuation) {
   this->start(2);
   this->evacuate(near_hall);
   ASSERT_TRUE(this->wait_for(near_hall, true));
-  const int before = this->taken_in(near_hall);
+  const int before = this->requests_by_hall(near_hall);
   this->end_evacuation(near_hall);
   ASSERT_TRUE(this->wait_for(near_hall, false));
   EXPECT_TRUE(this->all_served());
-  EXPECT_GT(this->taken_in(near_hall), before);
+  EXPECT_GT(this->requests_by_hall(near_hall), before);
 }
 
 TEST_F(evacuation_test, with_all_halls_evacuated_requests_are_refused_at_once) {
@@ -202,7 +208,7 @@
   ASSERT_TRUE(this->wait_for(far_hall, true));
   for (const auto& out : {stream_request("r1"), request("r2", "/look/a"),
                           request("r3", "/file/a")}) {
-    const auto answer = this->ask(out);
+    const auto answer = this->send_request(out);
     EXPECT_EQ(answer.result_int(), 503U);
     EXPECT_EQ(answer.body(), "data halls are evacuated");
     EXPECT_NE(answer.find(http::field::retry_after), answer.end());
@@ -211,14 +217,14 @@
   this->end_evacuation(far_hall);
   ASSERT_TRUE(this->wait_for(far_hall, false));
   EXPECT_TRUE(this->all_served());
-  EXPECT_EQ(this->taken_in(near_hall), 0);
+  EXPECT_EQ(this->requests_by_hall(near_hall), 0);
 }
 
-TEST_F(evacuation_test, what_is_known_holds_while_the_store_is_down) {
+TEST_F(evacuation_test, evacuations_hold_while_the_store_is_down) {
   this->start(2);
   this->evacuate(near_hall);
   ASSERT_TRUE(this->wait_for(near_hall, true));
-  const int before = this->taken_in(near_hall);
+  const int before = this->requests_by_hall(near_hall);
   this->on_loop([&] { return this->fleet->faults.store_silent = true; });
   ASSERT_TRUE(this->wait_until([&] {
     return std::none_of(
@@ -226,23 +232,23 @@
         [](const auto& node) { return node->context().config_fresh(); });
   }));
   EXPECT_TRUE(this->all_served());
-  EXPECT_EQ(this->taken_in(near_hall), before);
+  EXPECT_EQ(this->requests_by_hall(near_hall), before);
   this->end_evacuation(near_hall);
   this->on_loop([&] { return this->fleet->faults.store_silent = false; });
   EXPECT_TRUE(this->wait_for(near_hall, false));
 }
 
-TEST_F(evacuation_test, a_hall_is_evacuated_whatever_its_object_holds) {
+TEST_F(evacuation_test, evacuation_ignores_object_content) {
   this->start(1);
   this->evacuate("no-such-hall", 7);
   this->evacuate(near_hall, json::array({"nonsense"}));
   ASSERT_TRUE(this->wait_for("no-such-hall", true));
   ASSERT_TRUE(this->wait_for(near_hall, true));
   EXPECT_TRUE(this->all_served());
-  EXPECT_EQ(this->taken_in(near_hall), 0);
+  EXPECT_EQ(this->requests_by_hall(near_hall), 0);
 }
 
-TEST_F(evacuation_test, the_holder_forms_no_group_there) {
+TEST_F(evacuation_test, holder_forms_no_group_in_an_evacuated_hall) {
   this->fleet->evacuate(near_hall, json::object());
   this->add_node("node-0");
   this->run();
@@ -260,14 +266,14 @@
   EXPECT_TRUE(this->wait_until([&] { return joined(near_hall); }));
 }
 
-TEST_F(evacuation_test, nothing_is_followed_where_no_bound_is_given) {
-  this->evacuate_time.reset();
+TEST_F(evacuation_test, evacuations_are_not_followed_without_a_deadline) {
+  this->evacuate_deadline.reset();
   this->fleet->evacuate(near_hall, json::object());
   this->start(1);
   EXPECT_FALSE(this->on_loop(
       [&] { return this->nodes[0]->context().hall_closed(near_hall); }));
   EXPECT_TRUE(this->all_served());
-  EXPECT_GT(this->taken_in(near_hall), 0);
+  EXPECT_GT(this->requests_by_hall(near_hall), 0);
 }
 
 }  // namespace
--- a/test/fleet-adapter-test.cc
+++ b/test/fleet-adapter-test.cc
@@ -1,4 +1,4 @@
-// The translations of the fleet's platform.
+// The fleet adapter: decodes and encodes the platform's wire formats.
 #include "fleet-adapter.h"
 
 #include <gtest/gtest.h>
@@ -70,20 +70,20 @@
   EXPECT_FALSE(config->routes[1].repeatable);
   EXPECT_EQ(config->routes[1].targets[0].service, "y");
   const engine_profile& engine = *config->services[0].engine;
-  EXPECT_EQ(engine.read_tokens_per_ms, 46);
+  EXPECT_EQ(engine.prefill_tokens_per_ms, 46);
   EXPECT_EQ(engine.models[0].cold_load, absl::Seconds(16));
   EXPECT_EQ(engine.models[0].staged_load, absl::Milliseconds(1600));
   EXPECT_EQ(config->workspaces[0].keys, std::vector<std::string>{"k"});
 }
 
-TEST(fleet_adapter, a_stream_that_cannot_be_resumed_may_run_once) {
+TEST(fleet_adapter, stream_that_cannot_be_resumed_is_not_repeatable) {
   const json spec = {{"routes", {{{"name", "r"}, {"kind", "streaming"}}}}};
   const auto config = adapter->read_config(object_of("config", "main", spec));
   EXPECT_FALSE(config->routes[0].repeatable);
 }
 
-/// An entry as a server writes it.
-json good_entry() {
+/// A valid entry as written by a server.
+json valid_entry() {
   return {{"service", "x"},
           {"addr", "10.0.0.1:80"},
           {"zone", "z"},
@@ -99,7 +99,7 @@
            {{"name", "m.5"}, {"epoch", 5}, {"rank", 1}, {"state", "ready"}}}};
 }
 
-/// Why an entry names no server; empty if it names one.
+/// Returns why an entry is rejected; empty if it is valid.
 std::string fault_of(const json& spec) {
   std::string fault;
   const auto entry =
@@ -108,10 +108,10 @@
   return fault;
 }
 
-TEST(fleet_adapter, reads_a_servers_word_on_its_group) {
+TEST(fleet_adapter, reads_group_membership_of_a_server) {
   std::string fault;
   const auto entry =
-      adapter->read_server(object_of("servers", "i-1", good_entry()), fault);
+      adapter->read_server(object_of("servers", "i-1", valid_entry()), fault);
   ASSERT_TRUE(entry);
   EXPECT_EQ(fault, "");
   EXPECT_EQ(entry->id, "i-1");
@@ -121,17 +121,17 @@
             (group_membership{"m.5", 5, 1, member_phase::ready}));
 }
 
-TEST(fleet_adapter, reads_how_much_longer_a_server_is_cold) {
-  json spec = good_entry();
+TEST(fleet_adapter, reads_remaining_cold_time) {
+  json spec = valid_entry();
   spec["cold_left_ms"] = 2750;
   std::string fault;
   const auto entry =
       adapter->read_server(object_of("servers", "i-1", spec), fault);
   ASSERT_TRUE(entry);
-  EXPECT_EQ(entry->cold_left, absl::Milliseconds(2750));
+  EXPECT_EQ(entry->cold_remaining, absl::Milliseconds(2750));
 }
 
-TEST(fleet_adapter, reads_what_cold_servers_of_a_service_bear) {
+TEST(fleet_adapter, reads_request_rate_of_cold_servers) {
   const json spec = {
       {"routes", {{{"name", "r"}, {"kind", "safe"}}}},
       {"services", {{{"name", "x"}, {"cold_per_s", 26}}, {{"name", "y"}}}}};
@@ -141,30 +141,31 @@
   EXPECT_EQ(config->services[1].cold_requests_per_s, 0);
 }
 
-TEST(fleet_adapter, an_entry_that_lacks_a_field_names_no_server) {
+TEST(fleet_adapter, rejects_entry_without_a_required_field) {
   for (const char* name : {"service", "addr", "zone", "version", "slots",
                            "state", "cold_left_ms", "seq"}) {
-    json spec = good_entry();
+    json spec = valid_entry();
     spec.erase(name);
     EXPECT_EQ(fault_of(spec), name);
   }
 }
 
-/// Entries of plain services have none of these; those of before servers told
-/// their starts apart have no `born`.
-TEST(fleet_adapter, what_only_some_servers_say_may_be_absent) {
+/// Entries of plain services have none of these fields. Entries written by
+/// earlier versions, which did not distinguish a server's starts, have no
+/// `born`.
+TEST(fleet_adapter, accepts_entry_without_optional_fields) {
   for (const char* name : {"domain", "staged", "group", "born"}) {
-    json spec = good_entry();
+    json spec = valid_entry();
     spec.erase(name);
     EXPECT_EQ(fault_of(spec), "");
   }
-  json spec = good_entry();
+  json spec = valid_entry();
   spec["group"] = {{"name", ""}, {"epoch", 0}, {"rank", 0}, {"state", ""}};
   EXPECT_EQ(fault_of(spec), "");
 }
 
-TEST(fleet_adapter, a_field_of_another_type_or_range_names_no_server) {
-  const std::vector<std::pair<const char*, json>> wrong = {
+TEST(fleet_adapter, rejects_entry_with_invalid_field) {
+  const std::vector<std::pair<const char*, json>> invalid = {
       {"service", 7},
       {"service", ""},
       {"addr", "nowhere"},
@@ -195,29 +196,29 @@
        {{"name", "m.5"}, {"epoch", 5}, {"rank", 1}, {"state", "asleep"}}},
       {"group",
        {{"name", "m.5"}, {"epoch", 5}, {"rank", -1}, {"state", "ready"}}}};
-  for (const auto& [name, value] : wrong) {
-    json spec = good_entry();
+  for (const auto& [name, value] : invalid) {
+    json spec = valid_entry();
     spec[name] = value;
     EXPECT_EQ(fault_of(spec), name) << value;
   }
 }
 
-TEST(fleet_adapter, what_is_no_object_or_far_too_large_names_no_server) {
+TEST(fleet_adapter, rejects_entry_that_is_no_object_or_too_large) {
   EXPECT_EQ(fault_of(nullptr), "not an object");
   EXPECT_EQ(fault_of(json::array({1, 2})), "not an object");
-  json spec = good_entry();
+  json spec = valid_entry();
   spec["note"] = std::string(1 << 20, 'x');
   EXPECT_EQ(fault_of(spec), "too large");
   std::string fault;
-  object cut = object_of("servers", "i-1", good_entry());
-  cut.body.resize(cut.body.size() / 2);
-  EXPECT_FALSE(adapter->read_server(cut, fault));
+  object truncated = object_of("servers", "i-1", valid_entry());
+  truncated.body.resize(truncated.body.size() / 2);
+  EXPECT_FALSE(adapter->read_server(truncated, fault));
   EXPECT_EQ(fault, "not an object");
 }
 
-/// Whatever bytes stand there, an entry or a reason comes back.
-RC_GTEST_PROP(fleet_adapter, any_spoiled_entry_is_read_or_refused, ()) {
-  object o = object_of("servers", "i-1", good_entry());
+/// Any bytes give either an entry or a reason.
+RC_GTEST_PROP(fleet_adapter, corrupted_entry_is_read_or_rejected, ()) {
+  object o = object_of("servers", "i-1", valid_entry());
   const int changes = *rc::gen::inRange(1, 6);
   for (int i = 0; i < changes; ++i) {
     const auto at = *rc::gen::inRange<size_t>(0, o.body.size());
@@ -228,18 +229,18 @@
   RC_ASSERT(entry.has_value() == fault.empty());
 }
 
-TEST(fleet_adapter, takes_the_number_of_orders_from_the_report) {
+TEST(fleet_adapter, reads_order_count_from_report) {
   http_response answer(http::status::ok, 11);
   answer.body() = R"({"seq":4,"running":12,"waiting":1,"busy":true})";
   const auto report = adapter->read_report(answer);
   ASSERT_TRUE(report);
-  EXPECT_EQ(report->orders_taken, 4);
+  EXPECT_EQ(report->orders_started, 4);
   EXPECT_EQ(report->running, 12);
   answer.result(http::status::service_unavailable);
   EXPECT_FALSE(adapter->read_report(answer));
 }
 
-TEST(fleet_adapter, names_the_server_and_the_condition_of_an_order) {
+TEST(fleet_adapter, writes_server_and_condition_of_an_order) {
   group_order order;
   order.kind = group_order_kind::join;
   order.server = "i-1";
@@ -255,13 +256,14 @@
   EXPECT_EQ(body["members"].size(), 2U);
 }
 
-TEST(fleet_adapter, overwrites_what_a_caller_may_not_set) {
+TEST(fleet_adapter, overwrites_headers_that_callers_may_not_set) {
   http_fields head;
   head.set("X-Tenant", "someone");
   head.set("X-Expect-Instance", "i-9");
   head.set("Authorization", "Bearer k");
   head.set("X-Model", "m");
-  adapter->write_attempt({"i-1", "", absl::Milliseconds(900), 4, -1}, head);
+  adapter->write_attempt_headers({"i-1", "", absl::Milliseconds(900), 4, -1},
+                                 head);
   EXPECT_EQ(head.find("X-Tenant"), head.end());
   EXPECT_EQ(head.find("Authorization"), head.end());
   EXPECT_EQ(head["X-Expect-Instance"], "i-1");
@@ -269,50 +271,50 @@
   EXPECT_EQ(head["X-Model"], "m");
 }
 
-TEST(fleet_adapter, believes_only_a_server_that_says_it_did_not_run) {
+TEST(fleet_adapter, treats_request_as_not_run_only_if_server_says_so) {
   http_fields plain;
-  EXPECT_FALSE(adapter->read_answer(503, plain).not_run);
-  EXPECT_TRUE(adapter->read_answer(421, plain).not_run);
+  EXPECT_FALSE(adapter->read_response_head(503, plain).not_run);
+  EXPECT_TRUE(adapter->read_response_head(421, plain).not_run);
   plain.set("X-Not-Executed", "1");
-  EXPECT_TRUE(adapter->read_answer(503, plain).not_run);
+  EXPECT_TRUE(adapter->read_response_head(503, plain).not_run);
 }
 
 TEST(fleet_adapter, reads_server_limit) {
   const auto read = [](const char* value) {
     http_fields head;
     head.set("Server-Limit", value);
-    return adapter->read_answer(200, head);
+    return adapter->read_response_head(200, head);
   };
   EXPECT_EQ(read("1.4").limit_per_s, 1.4);
   EXPECT_EQ(read("0").limit_per_s, 0);
   EXPECT_EQ(read("1e9").limit_per_s, 1e9);
   for (const char* value : {"", "many", "-1", "nan", "inf", "1e999", "1.4/s"}) {
     EXPECT_FALSE(read(value).limit_per_s) << value;
-    EXPECT_TRUE(read(value).limit_unreadable) << value;
+    EXPECT_TRUE(read(value).limit_invalid) << value;
   }
-  const answer_head none = adapter->read_answer(200, http_fields());
+  const answer_head none = adapter->read_response_head(200, http_fields());
   EXPECT_FALSE(none.limit_per_s);
-  EXPECT_FALSE(none.limit_unreadable);
+  EXPECT_FALSE(none.limit_invalid);
 }
 
 TEST(fleet_adapter, rejects_conflicting_server_limits) {
   http_fields head;
   head.insert("Server-Limit", "1.4");
   head.insert("Server-Limit", "1.4");
-  EXPECT_EQ(adapter->read_answer(200, head).limit_per_s, 1.4);
+  EXPECT_EQ(adapter->read_response_head(200, head).limit_per_s, 1.4);
   head.insert("Server-Limit", "3");
-  EXPECT_FALSE(adapter->read_answer(200, head).limit_per_s);
-  EXPECT_TRUE(adapter->read_answer(200, head).limit_unreadable);
+  EXPECT_FALSE(adapter->read_response_head(200, head).limit_per_s);
+  EXPECT_TRUE(adapter->read_response_head(200, head).limit_invalid);
 }
 
 TEST(fleet_adapter, ignores_server_limit_of_misdirected_request) {
   http_fields head;
   head.set("Server-Limit", "1.4");
-  EXPECT_EQ(adapter->read_answer(503, head).limit_per_s, 1.4);
-  EXPECT_FALSE(adapter->read_answer(421, head).limit_per_s);
+  EXPECT_EQ(adapter->read_response_head(503, head).limit_per_s, 1.4);
+  EXPECT_FALSE(adapter->read_response_head(421, head).limit_per_s);
 }
 
-TEST(fleet_adapter, reads_a_callers_head) {
+TEST(fleet_adapter, reads_callers_request_head) {
   http_fields head;
   head.set("X-Request-Id", "r1");
   head.set("Authorization", "Bearer k");
@@ -320,18 +322,18 @@
   head.set("X-Token-Usage", "1460,80");
   head.set("Last-Event-Id", "12");
   std::string fault;
-  const auto read = adapter->read_caller(head, fault);
+  const auto read = adapter->read_caller_request(head, fault);
   ASSERT_TRUE(read);
   EXPECT_EQ(read->key, "k");
-  EXPECT_EQ(read->patience, absl::Seconds(8));
+  EXPECT_EQ(read->time_limit, absl::Seconds(8));
   EXPECT_EQ(read->prompt_tokens, 1460);
-  EXPECT_EQ(read->answer_limit, 80);
+  EXPECT_EQ(read->max_answer_tokens, 80);
   EXPECT_EQ(read->last_event, 12);
   head.insert("X-Request-Id", "r2");
-  EXPECT_FALSE(adapter->read_caller(head, fault));
+  EXPECT_FALSE(adapter->read_caller_request(head, fault));
 }
 
-/// JSON of any shape under the names that the readers look for.
+/// Generates JSON of any shape under the field names that the decoders read.
 json any_json(int depth) {
   const int kind = *rc::gen::inRange(0, depth > 0 ? 7 : 5);
   if (kind == 0) return nullptr;
@@ -355,7 +357,7 @@
   return out;
 }
 
-RC_GTEST_PROP(fleet_adapter, no_object_or_answer_does_harm, ()) {
+RC_GTEST_PROP(fleet_adapter, tolerates_any_object_or_response, ()) {
   const json any = any_json(4);
   const object o = object_of("any", "x", any);
   adapter->read_config(o);
@@ -366,7 +368,7 @@
   adapter->read_report(answer);
 }
 
-RC_GTEST_PROP(fleet_adapter, no_head_does_harm,
+RC_GTEST_PROP(fleet_adapter, tolerates_any_head,
               (const std::string& a, const std::string& b)) {
   http_fields head;
   head.set("X-Request-Id", a);
@@ -376,8 +378,8 @@
   head.set("Length-Hint", a);
   head.set("Keep-Alive", b);
   std::string fault;
-  adapter->read_caller(head, fault);
-  adapter->read_answer(200, head);
+  adapter->read_caller_request(head, fault);
+  adapter->read_response_head(200, head);
 }
 
 }  // namespace
--- a/test/fleet-run.h
+++ b/test/fleet-run.h
@@ -1,4 +1,4 @@
-// A fleet of emulated engines under a group controller, in virtual time.
+// Runs a fleet of emulated engines under a group controller in virtual time.
 #pragma once
 
 #include <absl/strings/str_cat.h>
@@ -18,7 +18,7 @@
 constexpr absl::Duration step_time = absl::Milliseconds(40);
 constexpr int domains_of_hall = 2;
 
-/// A fleet, a controller and the time.
+/// A fleet, its controller and the virtual clock.
 class fleet_run {
  public:
   fleet_run(const backend_service& service, uint64_t seed,
@@ -36,7 +36,7 @@
     this->begin_term();
   }
 
-  /// Begins the term of a new holder, which has heard of the division in force.
+  /// Starts the term of a new lease holder that knows the division in force.
   void begin_term(const std::vector<model_share>& division = {}) {
     this->controller.start_term(++this->fence, {}, division);
   }
@@ -48,22 +48,23 @@
       const answer a = this->answers.front();
       this->answers.pop_front();
       if (a.fence != this->fence) continue;
-      this->controller.on_order(a.order, a.result, this->now);
+      this->controller.on_order_result(a.order, a.result, this->now);
     }
     const group_actions actions = this->controller.step(
-        this->fleet.directory(), this->config, this->loads_count, this->now);
-    this->most_orders = std::max(this->most_orders, actions.orders.size());
+        this->fleet.directory(), this->config, this->requests_seen, this->now);
+    this->max_orders_per_step =
+        std::max(this->max_orders_per_step, actions.orders.size());
     for (const auto& order : actions.orders) {
-      const order_result result = this->fleet.give(order, this->now);
-      const bool told = result != order_result::unknown;
-      const absl::Duration wait =
-          told ? absl::Milliseconds(5) : absl::Milliseconds(500);
-      this->answers.push_back({order, result, this->now + wait, this->fence});
+      const order_result result = this->fleet.send_order(order, this->now);
+      const bool has_result = result != order_result::unknown;
+      const absl::Duration delay =
+          has_result ? absl::Milliseconds(5) : absl::Milliseconds(500);
+      this->answers.push_back({order, result, this->now + delay, this->fence});
       std::stable_sort(
           this->answers.begin(), this->answers.end(),
           [](const auto& a, const auto& b) { return a.at < b.at; });
     }
-    for (const auto& id : actions.reports) {
+    for (const auto& id : actions.report_requests) {
       this->controller.on_report(id, this->fleet.report(id), this->now);
     }
   }
@@ -73,27 +74,27 @@
     while (this->now < until) this->step();
   }
 
-  /// The traffic's part: callers notice members that are lost.
-  void notice(const std::string& id) {
+  /// Reports a suspected server, as nodes do when its requests fail.
+  void report_suspect(const std::string& id) {
     this->controller.suspect(id, this->now);
   }
 
-  std::string some_server() {
-    const auto all = this->fleet.living();
+  std::string random_server() {
+    const auto all = this->fleet.live_servers();
     return all[this->random.below(all.size())];
   }
 
-  /// Loads that began in the fullest window after `since`.
-  int most_loads(absl::Duration window, absl::Time since) const {
-    int most = 0;
+  /// Maximum number of loads that started within any window after `since`.
+  int max_loads_in_window(absl::Duration window, absl::Time since) const {
+    int max_loads = 0;
     for (const auto& from : this->fleet.loads) {
       if (from < since) continue;
-      const auto in = std::count_if(
+      const auto count = std::count_if(
           this->fleet.loads.begin(), this->fleet.loads.end(),
           [&](const auto& at) { return at >= from && at < from + window; });
-      most = std::max(most, static_cast<int>(in));
+      max_loads = std::max(max_loads, static_cast<int>(count));
     }
-    return most;
+    return max_loads;
   }
 
   struct answer {
@@ -106,11 +107,11 @@
   standin::fleet_emulator fleet;
   group_controller controller;
   routing_config config;
-  bool loads_count = false;
+  bool requests_seen = false;
   int64_t fence = 0;
   std::deque<answer> answers;
-  /// Orders of the step that gave most of them.
-  size_t most_orders = 0;
+  /// Maximum number of orders in one step.
+  size_t max_orders_per_step = 0;
   random_stream random;
 };
 
--- a/test/group-controller-test.cc
+++ b/test/group-controller-test.cc
@@ -1,4 +1,4 @@
-// The group controller against the emulator, in virtual time.
+// Tests of the group controller against the fleet emulator, in virtual time.
 #include "spokesail/group-controller.h"
 
 #include <absl/strings/str_cat.h>
@@ -16,10 +16,10 @@
 backend_service engine_service() {
   engine_profile engine;
   engine.slots = 26;
-  engine.stride = 5;
+  engine.decode_steps_per_pass = 5;
   engine.step_ms = 6;
-  engine.read_tokens_per_ms = 46;
-  engine.read_chunk = 2048;
+  engine.prefill_tokens_per_ms = 46;
+  engine.prefill_chunk = 2048;
   engine.loads_per_s = 4;
   engine.loads_at_once = 6;
   engine.open_time = absl::Milliseconds(300);
@@ -29,13 +29,13 @@
   return {"lm", 100, 0, engine};
 }
 
-fleet_run hall_of_domains(uint64_t seed,
-                          const group_controller_options& options = {},
-                          int domains = 6, int hosts = 8) {
+fleet_run make_fleet(uint64_t seed,
+                     const group_controller_options& options = {},
+                     int domains = 6, int hosts = 8) {
   return {engine_service(), seed, options, domains, hosts};
 }
 
-/// Options under which spares wait idle for repairs.
+/// Options under which spare hosts do not serve.
 group_controller_options idle_spares() {
   group_controller_options options;
   options.spares_serve = false;
@@ -43,36 +43,37 @@
 }
 
 /// A fleet whose groups serve, with requests.
-fleet_run standing_fleet(uint64_t seed,
-                         const group_controller_options& options = {}) {
-  fleet_run run = hall_of_domains(seed, options);
+fleet_run serving_fleet(uint64_t seed,
+                        const group_controller_options& options = {}) {
+  fleet_run run = make_fleet(seed, options);
   run.run_for(absl::Seconds(30));
-  run.loads_count = true;
+  run.requests_seen = true;
   return run;
 }
 
 std::string member_of(const fleet_run& run, const std::string& model,
                       int rank) {
   for (const auto& [id, server] : run.fleet.directory().servers()) {
-    const auto& said = server.entry.membership;
-    if (said.phase == member_phase::none || said.rank != rank) continue;
-    if (group_model(said.group) == model) return id;
+    const auto& membership = server.entry.membership;
+    if (membership.phase == member_phase::none || membership.rank != rank)
+      continue;
+    if (group_model(membership.group) == model) return id;
   }
   return "";
 }
 
 TEST(group_controller, forms_groups_by_share_and_keeps_spares) {
-  const fleet_run run = standing_fleet(1, idle_spares());
+  const fleet_run run = serving_fleet(1, idle_spares());
   EXPECT_EQ(run.fleet.serving("large"), 6);
   EXPECT_EQ(run.fleet.serving("small"), 6);
   EXPECT_TRUE(run.fleet.breaches().empty());
 }
 
-TEST(group_controller, has_spares_serve_and_stages_them_for_repairs) {
-  const fleet_run run = standing_fleet(1);
+TEST(group_controller, lets_spares_serve_and_stages_them_for_repairs) {
+  const fleet_run run = serving_fleet(1);
   EXPECT_EQ(run.fleet.serving("large"), 6);
   EXPECT_EQ(run.fleet.serving("small"), 12);
-  // Two hosts of each domain serve the one model and hold the other's weights.
+  // Two hosts of each domain serve one model and hold the other's weights.
   int ready_for_both = 0;
   for (const auto& [id, server] : run.fleet.directory().servers()) {
     const server_entry& entry = server.entry;
@@ -83,27 +84,27 @@
   EXPECT_TRUE(run.fleet.breaches().empty());
 }
 
-TEST(group_controller, takes_a_serving_spare_back_for_a_repair) {
-  fleet_run run = standing_fleet(2);
+TEST(group_controller, reclaims_a_serving_spare_for_a_repair) {
+  fleet_run run = serving_fleet(2);
   const std::string lost = member_of(run, "large", 2);
   run.fleet.kill(lost, run.now);
-  run.notice(lost);
+  run.report_suspect(lost);
   run.run_for(absl::Milliseconds(4000));
   EXPECT_EQ(run.fleet.serving("large"), 6);
   EXPECT_EQ(run.fleet.serving("small"), 11);
   EXPECT_TRUE(run.fleet.breaches().empty());
 }
 
-TEST(group_controller, ends_no_larger_group_to_repair_a_smaller_one) {
+TEST(group_controller, dissolves_no_larger_group_to_repair_a_smaller_one) {
   group_controller_options options;
-  // By this share few groups are wanted, so that most of them count as spares.
+  // With this share few groups are wanted, so that most count as spares.
   options.spare_share = 0.6;
-  fleet_run run = standing_fleet(3, options);
+  fleet_run run = serving_fleet(3, options);
   const int large = run.fleet.serving("large");
   for (int i = 0; i < 6; ++i) {
     const std::string lost = member_of(run, "small", 1);
     run.fleet.kill(lost, run.now);
-    run.notice(lost);
+    run.report_suspect(lost);
     run.run_for(absl::Seconds(2));
   }
   EXPECT_EQ(run.fleet.serving("large"), large);
@@ -114,85 +115,87 @@
 std::set<std::string> groups_in(const fleet_run& run, const std::string& hall) {
   std::set<std::string> out;
   for (const auto& [id, server] : run.fleet.directory().servers()) {
-    const auto& said = server.entry.membership;
-    if (server.entry.hall != hall || said.phase == member_phase::none) continue;
-    out.insert(said.group);
+    const auto& membership = server.entry.membership;
+    if (server.entry.hall != hall || membership.phase == member_phase::none)
+      continue;
+    out.insert(membership.group);
   }
   return out;
 }
 
 TEST(group_controller, forms_no_group_in_a_closed_hall) {
-  fleet_run run = hall_of_domains(1);
-  run.controller.close_halls({"h0"});
+  fleet_run run = make_fleet(1);
+  run.controller.set_closed_halls({"h0"});
   run.run_for(absl::Seconds(30));
   EXPECT_TRUE(groups_in(run, "h0").empty());
   EXPECT_FALSE(groups_in(run, "h1").empty());
-  // What is wanted follows from the hosts of the other halls.
+  // The wanted groups follow from the hosts of the other halls.
   EXPECT_GE(run.fleet.serving("large"), 4);
   EXPECT_GE(run.fleet.serving("small"), 4);
-  run.controller.close_halls({});
+  run.controller.set_closed_halls({});
   run.run_for(absl::Seconds(30));
   EXPECT_FALSE(groups_in(run, "h0").empty());
   EXPECT_TRUE(run.fleet.breaches().empty());
 }
 
-TEST(group_controller, leaves_the_groups_of_a_closed_hall_as_they_are) {
-  fleet_run run = standing_fleet(1);
+TEST(group_controller, keeps_the_groups_of_a_closed_hall) {
+  fleet_run run = serving_fleet(1);
   const auto before = groups_in(run, "h0");
   const auto others = groups_in(run, "h1");
-  run.controller.close_halls({"h0"});
+  run.controller.set_closed_halls({"h0"});
   run.run_for(absl::Seconds(10));
   EXPECT_EQ(groups_in(run, "h0"), before);
   EXPECT_EQ(groups_in(run, "h1"), others);
-  run.controller.close_halls({});
+  run.controller.set_closed_halls({});
   run.run_for(absl::Seconds(10));
   EXPECT_EQ(groups_in(run, "h0"), before);
 }
 
-TEST(group_controller, ends_a_broken_group_of_a_closed_hall_and_forms_none) {
-  fleet_run run = standing_fleet(1, idle_spares());
+TEST(group_controller,
+     dissolves_a_broken_group_of_a_closed_hall_and_forms_none) {
+  fleet_run run = serving_fleet(1, idle_spares());
   const auto before = groups_in(run, "h0");
   std::string lost;
   for (const auto& [id, server] : run.fleet.directory().servers()) {
-    const auto& said = server.entry.membership;
-    if (server.entry.hall != "h0" || said.rank != 1) continue;
-    if (said.phase != member_phase::none) lost = id;
+    const auto& membership = server.entry.membership;
+    if (server.entry.hall != "h0" || membership.rank != 1) continue;
+    if (membership.phase != member_phase::none) lost = id;
   }
   const std::string group = run.fleet.directory().find(lost)->membership.group;
-  run.controller.close_halls({"h0"});
-  run.fleet.set_dark(lost, true);
-  run.notice(lost);
+  run.controller.set_closed_halls({"h0"});
+  run.fleet.set_isolated(lost, true);
+  run.report_suspect(lost);
   run.run_for(absl::Seconds(10));
-  auto left = before;
-  left.erase(group);
-  auto standing = groups_in(run, "h0");
-  // Who does not answer cannot be told to leave.
-  standing.erase(group);
-  EXPECT_EQ(standing, left);
+  auto expected = before;
+  expected.erase(group);
+  auto actual = groups_in(run, "h0");
+  // A server that does not answer cannot be ordered to leave.
+  actual.erase(group);
+  EXPECT_EQ(actual, expected);
   for (const auto& [id, server] : run.fleet.directory().servers()) {
     if (id == lost) continue;
     EXPECT_NE(server.entry.membership.group, group);
   }
 }
 
-TEST(group_controller, gives_up_a_group_whose_hall_closes_while_it_forms) {
-  fleet_run run = hall_of_domains(1);
+TEST(group_controller, abandons_a_group_whose_hall_closes_while_it_forms) {
+  fleet_run run = make_fleet(1);
   while (groups_in(run, "h0").empty()) run.step();
-  run.controller.close_halls({"h0"});
-  const auto begun = groups_in(run, "h0");
+  run.controller.set_closed_halls({"h0"});
+  const auto forming = groups_in(run, "h0");
   run.run_for(absl::Seconds(30));
   for (const auto& group : groups_in(run, "h0")) {
-    EXPECT_TRUE(begun.count(group) != 0) << group;
+    EXPECT_TRUE(forming.count(group) != 0) << group;
   }
   EXPECT_TRUE(run.fleet.breaches().empty());
 }
 
 TEST(group_controller, spreads_groups_over_domains) {
-  const fleet_run run = standing_fleet(1);
+  const fleet_run run = serving_fleet(1);
   std::map<std::string, int> large;
   for (const auto& [id, server] : run.fleet.directory().servers()) {
-    const auto& said = server.entry.membership;
-    if (said.rank == 0 && group_model(said.group) == "large") {
+    const auto& membership = server.entry.membership;
+    if (membership.rank == 0 && group_model(membership.group) == "large") {
       large[server.entry.domain]++;
     }
   }
@@ -200,50 +203,51 @@
 }
 
 TEST(group_controller, repairs_with_a_staged_spare_once_a_member_is_lost) {
-  fleet_run run = standing_fleet(2, idle_spares());
+  fleet_run run = serving_fleet(2, idle_spares());
   const std::string lost = member_of(run, "large", 2);
   run.fleet.kill(lost, run.now);
-  run.notice(lost);
+  run.report_suspect(lost);
   run.run_for(absl::Milliseconds(2600));
   EXPECT_EQ(run.fleet.serving("large"), 6);
   EXPECT_TRUE(run.fleet.breaches().empty());
 }
 
-/// Its count of orders starts anew and it belongs to no group, whether its
-/// entry or its report is the first to say so.
-TEST(group_controller, a_member_that_starts_again_under_its_id_is_replaced) {
+/// After a restart, a server's count of orders starts anew and it is in no
+/// group. The controller may learn this first from its entry or its report.
+TEST(group_controller, replaces_a_member_that_restarts_under_the_same_id) {
   for (const bool noticed : {false, true}) {
-    fleet_run run = standing_fleet(2, idle_spares());
+    fleet_run run = serving_fleet(2, idle_spares());
     const std::string id = member_of(run, "large", 2);
     const std::string group = run.fleet.directory().find(id)->membership.group;
     run.fleet.restart(id, run.now);
-    if (noticed) run.notice(id);
+    if (noticed) run.report_suspect(id);
     run.run_for(absl::Seconds(6));
     EXPECT_EQ(run.fleet.serving("large"), 6);
     EXPECT_TRUE(run.fleet.breaches().empty());
     for (const auto& [name, server] : run.fleet.directory().servers()) {
-      const group_membership& said = server.entry.membership;
-      EXPECT_FALSE(said.group == group && said.phase == member_phase::open);
+      const group_membership& membership = server.entry.membership;
+      EXPECT_FALSE(membership.group == group &&
+                   membership.phase == member_phase::open);
     }
-    // It takes orders again, by its new count.
+    // It accepts orders again, by its new count.
     const std::string other = member_of(run, "large", 1);
     run.fleet.kill(other, run.now);
-    run.notice(other);
+    run.report_suspect(other);
     run.run_for(absl::Seconds(40));
     EXPECT_EQ(run.fleet.serving("large"), 6);
   }
 }
 
-/// An answer that was under way when the server started again.
-TEST(group_controller, a_report_of_an_earlier_start_is_not_believed) {
+/// A report that was sent before the server restarted arrives after it.
+TEST(group_controller, ignores_a_report_of_an_earlier_incarnation) {
   constexpr int64_t earlier_orders = 77;
-  fleet_run run = standing_fleet(3, idle_spares());
+  fleet_run run = serving_fleet(3, idle_spares());
   const std::string id = member_of(run, "large", 2);
-  server_report late = *run.fleet.report(id);
-  late.orders_taken = earlier_orders;
+  server_report stale_report = *run.fleet.report(id);
+  stale_report.orders_started = earlier_orders;
   run.fleet.restart(id, run.now);
   run.run_for(absl::Milliseconds(80));
-  run.controller.on_report(id, late, run.now);
+  run.controller.on_report(id, stale_report, run.now);
   const absl::Time until = run.now + absl::Seconds(6);
   while (run.now < until) {
     run.step();
@@ -256,61 +260,63 @@
   EXPECT_TRUE(run.fleet.breaches().empty());
 }
 
-/// The load of the first holder of a large fleet, in which all hosts are to
-/// join groups at once.
-TEST(group_controller, orders_a_large_fleet_in_a_window) {
+/// The first holder of a large fleet, in which all hosts have to join groups at
+/// once.
+TEST(group_controller, limits_pending_orders_in_a_large_fleet) {
   constexpr int domains = 25;
   constexpr int hosts = 37;
-  fleet_run run = hall_of_domains(11, {}, domains, hosts);
+  fleet_run run = make_fleet(11, {}, domains, hosts);
   run.step();
   run.run_for(absl::Seconds(25));
-  EXPECT_LE(run.most_orders, static_cast<size_t>(window_limits{}.most));
+  EXPECT_LE(run.max_orders_per_step,
+            static_cast<size_t>(window_limits{}.max_size));
   EXPECT_GE(4 * run.fleet.serving("large") + 2 * run.fleet.serving("small"),
             domains * (hosts - 6));
   EXPECT_TRUE(run.fleet.breaches().empty());
 }
 
-/// The load of a hall that loses hosts: each loss is made good by a spare.
-TEST(group_controller, repairs_within_a_second_with_a_spare_that_is_warm) {
-  fleet_run run = standing_fleet(2, idle_spares());
+/// A hall that loses hosts: each loss is repaired by a spare.
+TEST(group_controller, repairs_within_a_second_with_a_warm_spare) {
+  fleet_run run = serving_fleet(2, idle_spares());
   run.run_for(absl::Seconds(6));
   const std::string lost = member_of(run, "large", 2);
   run.fleet.kill(lost, run.now);
-  run.notice(lost);
+  run.report_suspect(lost);
   run.run_for(absl::Milliseconds(1100));
   EXPECT_EQ(run.fleet.serving("large"), 6);
   EXPECT_TRUE(run.fleet.breaches().empty());
 }
 
-TEST(group_controller, hosts_that_warm_up_join_no_group_that_serves) {
-  fleet_run run = standing_fleet(3, idle_spares());
+TEST(group_controller, hosts_leave_their_group_after_the_warm_up) {
+  fleet_run run = serving_fleet(3, idle_spares());
   run.run_for(absl::Seconds(10));
   // Each host has left the group that it joined to warm up.
   for (const auto& [id, server] : run.fleet.directory().servers()) {
-    const group_membership& said = server.entry.membership;
-    if (said.phase == member_phase::none) continue;
-    EXPECT_TRUE(run.fleet.group_in_place(id)) << id;
+    const group_membership& membership = server.entry.membership;
+    if (membership.phase == member_phase::none) continue;
+    EXPECT_TRUE(run.fleet.group_complete(id)) << id;
   }
   EXPECT_TRUE(run.fleet.breaches().empty());
 }
 
-TEST(group_controller, frees_the_members_of_a_head_that_is_cut_off) {
-  fleet_run run = standing_fleet(3, idle_spares());
+TEST(group_controller, frees_the_members_of_an_unreachable_head) {
+  fleet_run run = serving_fleet(3, idle_spares());
   const std::string head = member_of(run, "large", 0);
-  // The head is cut off, not dead: it may serve callers on the other side.
-  run.fleet.set_dark(head, true);
-  run.notice(head);
+  // The head is unreachable but alive: it may serve callers on the other side
+  // of the partition.
+  run.fleet.set_isolated(head, true);
+  run.report_suspect(head);
   run.run_for(absl::Seconds(3));
   EXPECT_TRUE(run.fleet.breaches().empty());
   EXPECT_EQ(run.fleet.serving("large"), 6);
 }
 
-TEST(group_controller, a_new_holder_does_not_join_hosts_whose_head_may_serve) {
-  fleet_run run = standing_fleet(4);
+TEST(group_controller, a_new_holder_does_not_reuse_hosts_whose_head_may_serve) {
+  fleet_run run = serving_fleet(4);
   const std::string head = member_of(run, "large", 0);
-  run.fleet.set_dark(head, true);
-  run.notice(head);
-  // The holder takes the others out of the group, and is gone.
+  run.fleet.set_isolated(head, true);
+  run.report_suspect(head);
+  // The holder orders the other members to leave, and then fails.
   run.run_for(absl::Milliseconds(300));
   const absl::Time dead = run.now;
   while (run.now - dead < absl::Milliseconds(1700)) {
@@ -322,8 +328,8 @@
   EXPECT_TRUE(run.fleet.breaches().empty());
 }
 
-TEST(group_controller, moves_a_group_off_a_host_that_is_leaving) {
-  fleet_run run = standing_fleet(5, idle_spares());
+TEST(group_controller, replaces_a_group_with_a_leaving_host) {
+  fleet_run run = serving_fleet(5, idle_spares());
   const std::string leaving = member_of(run, "small", 1);
   run.fleet.drain(leaving, run.now);
   run.run_for(absl::Seconds(6));
@@ -333,18 +339,19 @@
   EXPECT_TRUE(run.fleet.breaches().empty());
 }
 
-/// The load of a release: members of several groups announce their stop at
-/// once, and serve on for a while.
-TEST(group_controller, groups_serve_on_while_a_member_is_about_to_leave) {
+/// A release: members of several groups announce their stop at once, and keep
+/// serving for a while.
+TEST(group_controller, groups_keep_serving_while_a_member_is_about_to_leave) {
   group_controller_options options = idle_spares();
-  options.leave_hold = absl::Milliseconds(2000);
-  fleet_run run = standing_fleet(5, options);
+  options.leaving_member_grace = absl::Milliseconds(2000);
+  fleet_run run = serving_fleet(5, options);
   std::set<std::string> groups;
   for (const auto& [id, server] : run.fleet.directory().servers()) {
-    const group_membership& said = server.entry.membership;
-    const bool member = said.rank == 1 && said.phase != member_phase::none;
-    if (!member || group_model(said.group) != "small") continue;
-    if (groups.size() == 4 || !groups.insert(said.group).second) continue;
+    const group_membership& membership = server.entry.membership;
+    const bool member =
+        membership.rank == 1 && membership.phase != member_phase::none;
+    if (!member || group_model(membership.group) != "small") continue;
+    if (groups.size() == 4 || !groups.insert(membership.group).second) continue;
     run.fleet.drain(id, run.now);
   }
   ASSERT_EQ(groups.size(), 4U);
@@ -354,15 +361,15 @@
     run.step();
     ASSERT_EQ(run.fleet.serving("small"), before);
   }
-  // Four hosts fewer leave room for one group less.
+  // Four hosts fewer make one group fewer.
   run.run_for(absl::Seconds(20));
   EXPECT_EQ(run.fleet.serving("small"), before - 1);
   EXPECT_TRUE(run.fleet.breaches().empty());
 }
 
-/// Groups that the servers of a domain, or all others, name.
-std::set<std::string> group_names(const fleet_run& run,
-                                  const std::string& domain, bool in_domain) {
+/// Groups that the servers of a domain, or all others, are in.
+std::set<std::string> groups_named(const fleet_run& run,
+                                   const std::string& domain, bool in_domain) {
   std::set<std::string> out;
   for (const auto& [id, server] : run.fleet.directory().servers()) {
     const server_entry& entry = server.entry;
@@ -373,31 +380,32 @@
   return out;
 }
 
-TEST(group_controller, a_term_that_is_resumed_gives_no_groups_name_again) {
-  fleet_run run = standing_fleet(1);
-  // The lease could not be renewed for a while, and nobody else took it.
+TEST(group_controller, a_resumed_term_reuses_no_group_name) {
+  fleet_run run = serving_fleet(1);
+  // The lease had expired for a while, and no other node took it.
   run.controller.stop_term();
   run.controller.start_term(run.fence);
-  run.loads_count = false;
+  run.requests_seen = false;
   const std::string added = "added";
   for (int i = 0; i < 8; ++i) run.fleet.add(added, run.now);
-  const std::set<std::string> earlier = group_names(run, added, false);
-  std::set<std::string> fresh;
+  const std::set<std::string> names_before = groups_named(run, added, false);
+  std::set<std::string> new_names;
   const absl::Time until = run.now + absl::Seconds(10);
   while (run.now < until) {
     run.step();
-    fresh.merge(group_names(run, added, true));
+    new_names.merge(groups_named(run, added, true));
   }
-  EXPECT_FALSE(fresh.empty());
-  for (const auto& name : fresh) EXPECT_EQ(earlier.count(name), 0U) << name;
+  EXPECT_FALSE(new_names.empty());
+  for (const auto& name : new_names)
+    EXPECT_EQ(names_before.count(name), 0U) << name;
 }
 
 TEST(group_controller, stages_hosts_for_the_model_that_lacks_groups) {
-  fleet_run run = standing_fleet(6, idle_spares());
-  const std::set<std::string> struck = {"d0", "d1", "d2"};
+  fleet_run run = serving_fleet(6, idle_spares());
+  const std::set<std::string> affected_domains = {"d0", "d1", "d2"};
   for (const auto& [id, server] : run.fleet.directory().servers()) {
     const server_entry& entry = server.entry;
-    if (struck.count(entry.domain) == 0) continue;
+    if (affected_domains.count(entry.domain) == 0) continue;
     if (entry.staged == std::vector<std::string>{"small"}) {
       run.fleet.kill(id, run.now);
     }
@@ -411,13 +419,13 @@
 
 /// A fleet whose holders change while many hosts have weights to load.
 fleet_run fleet_without_weights(uint64_t seed) {
-  fleet_run run = hall_of_domains(seed);
-  run.loads_count = true;
+  fleet_run run = make_fleet(seed);
+  run.requests_seen = true;
   run.run_for(absl::Milliseconds(400));
   return run;
 }
 
-TEST(group_controller, holders_that_follow_each_other_keep_the_rate_of_loads) {
+TEST(group_controller, successive_holders_keep_the_load_rate_limit) {
   fleet_run run = fleet_without_weights(8);
   const engine_profile engine = *engine_service().engine;
   const group_controller_options options;
@@ -429,10 +437,10 @@
   }
   const double allowed = engine.loads_per_s * options.load_excess *
                          absl::ToDoubleSeconds(options.load_window);
-  EXPECT_LE(run.most_loads(options.load_window, since), allowed);
+  EXPECT_LE(run.max_loads_in_window(options.load_window, since), allowed);
 }
 
-TEST(group_controller, a_holder_that_heard_nothing_waits_the_window_out) {
+TEST(group_controller, a_holder_without_reports_waits_for_a_load_window) {
   fleet_run run = fleet_without_weights(9);
   const size_t loads = run.fleet.loads.size();
   run.begin_term();
@@ -442,19 +450,19 @@
   EXPECT_GT(run.fleet.loads.size(), loads);
 }
 
-TEST(group_controller, gives_up_its_duty_when_most_servers_are_silent) {
-  fleet_run run = standing_fleet(7);
+TEST(group_controller, steps_down_when_most_servers_are_silent) {
+  fleet_run run = serving_fleet(7);
   int count = 0;
-  for (const auto& id : run.fleet.living()) {
+  for (const auto& id : run.fleet.live_servers()) {
     if (++count > 20) break;
-    run.fleet.set_dark(id, true);
-    run.notice(id);
+    run.fleet.set_isolated(id, true);
+    run.report_suspect(id);
   }
   for (int i = 0; i < 20; ++i) {
     run.now += step_time;
     const auto actions =
         run.controller.step(run.fleet.directory(), run.config, true, run.now);
-    for (const auto& id : actions.reports) {
+    for (const auto& id : actions.report_requests) {
       run.controller.on_report(id, run.fleet.report(id), run.now);
     }
     if (!actions.step_down) continue;
@@ -464,27 +472,27 @@
   FAIL() << "did not step down";
 }
 
-TEST(group_controller, keeps_its_duty_when_one_of_three_halls_is_cut_off) {
-  fleet_run run = standing_fleet(7);
+TEST(group_controller, does_not_step_down_when_one_of_three_halls_is_cut_off) {
+  fleet_run run = serving_fleet(7);
   for (const auto& [id, server] : run.fleet.directory().servers()) {
     if (server.entry.hall != "h0") continue;
-    run.fleet.set_dark(id, true);
-    run.notice(id);
+    run.fleet.set_isolated(id, true);
+    run.report_suspect(id);
   }
   for (int i = 0; i < 20; ++i) {
     run.now += step_time;
     const auto actions =
         run.controller.step(run.fleet.directory(), run.config, true, run.now);
-    for (const auto& id : actions.reports) {
+    for (const auto& id : actions.report_requests) {
       run.controller.on_report(id, run.fleet.report(id), run.now);
     }
     EXPECT_FALSE(actions.step_down);
   }
-  EXPECT_EQ(run.controller.silent_servers().size(), 16U);
+  EXPECT_EQ(run.controller.unresponsive_servers().size(), 16U);
 }
 
-TEST(group_controller, a_new_holder_lets_a_host_go_on_loading) {
-  fleet_run run = standing_fleet(9);
+TEST(group_controller, a_new_holder_does_not_interrupt_a_load) {
+  fleet_run run = serving_fleet(9);
   const std::string added = run.fleet.add("d0", run.now);
   run.run_for(absl::Seconds(2));
   const size_t loads = run.fleet.loads.size();
@@ -494,17 +502,17 @@
   EXPECT_EQ(run.fleet.directory().find(added)->staged.size(), 1U);
 }
 
-TEST(group_controller, keeps_loads_under_the_ceiling) {
-  fleet_run run = standing_fleet(8);
+TEST(group_controller, keeps_loads_within_the_rate_limit) {
+  fleet_run run = serving_fleet(8);
   const absl::Time since = run.now;
   for (int i = 0; i < 30; ++i) run.fleet.add(absl::StrCat("d", i % 6), run.now);
   run.run_for(absl::Seconds(20));
-  EXPECT_LE(run.most_loads(absl::Seconds(5), since), 25);
-  EXPECT_GT(run.most_loads(absl::Seconds(5), since), 5);
+  EXPECT_LE(run.max_loads_in_window(absl::Seconds(5), since), 25);
+  EXPECT_GT(run.max_loads_in_window(absl::Seconds(5), since), 5);
 }
 
-TEST(group_controller, forms_the_groups_of_each_of_two_services) {
-  const absl::Time began = absl::FromUnixSeconds(1000);
+TEST(group_controller, forms_groups_of_two_services) {
+  const absl::Time start = absl::FromUnixSeconds(1000);
   routing_config config;
   config.services = {engine_service(), engine_service()};
   config.services[1].name = "other";
@@ -520,10 +528,10 @@
   group_controller controller{group_controller_options{}};
   controller.start_term(1);
   std::set<std::string> ordered;
-  for (absl::Time now = began; now < began + absl::Seconds(2);
+  for (absl::Time now = start; now < start + absl::Seconds(2);
        now += step_time) {
     const auto actions = controller.step(directory, config, false, now);
-    for (const auto& id : actions.reports) {
+    for (const auto& id : actions.report_requests) {
       controller.on_report(id, server_report{}, now);
     }
     for (const auto& order : actions.orders) {
@@ -535,8 +543,8 @@
   EXPECT_EQ(ordered, (std::set<std::string>{"lm", "other"}));
 }
 
-/// Hosts of one domain in a group of each model and two free hosts that hold
-/// the smaller model's weights, by their own words.
+/// Hosts of one domain in a group of each model, and two free hosts that hold
+/// the smaller model's weights, as the servers report it.
 server_directory domain_with_spares() {
   server_directory out;
   const auto add = [&out](const std::string& id, const std::string& model,
@@ -552,7 +560,7 @@
     }
     server.revision = out.revision() + 1;
     out.update(server);
-    out.caught_up(server.revision);
+    out.advance_revision(server.revision);
   };
   for (int i = 0; i < 4; ++i) add(absl::StrCat("l", i), "large", i, "large");
   for (int i = 0; i < 2; ++i) add(absl::StrCat("s", i), "small", i, "small");
@@ -560,7 +568,7 @@
   return out;
 }
 
-TEST(group_controller, changes_a_spares_weights_when_the_other_model_has_none) {
+TEST(group_controller, restages_a_spare_when_the_other_model_has_none) {
   const server_directory directory = domain_with_spares();
   routing_config config;
   config.services = {engine_service()};
@@ -572,12 +580,12 @@
   absl::Time now = absl::FromUnixSeconds(1000);
   for (int i = 0; i < 20; ++i, now += step_time) {
     const auto actions = controller.step(directory, config, true, now);
-    for (const auto& id : actions.reports) {
+    for (const auto& id : actions.report_requests) {
       controller.on_report(id, server_report{}, now);
     }
     for (const auto& order : actions.orders) {
       stages.push_back(order);
-      controller.on_order(order, order_result::begun, now);
+      controller.on_order_result(order, order_result::begun, now);
     }
   }
   ASSERT_EQ(stages.size(), 1U);
@@ -585,17 +593,17 @@
   EXPECT_EQ(stages[0].model, "large");
 }
 
-TEST(group_controller, stages_for_a_group_that_is_about_to_form) {
-  fleet_run run = standing_fleet(10, idle_spares());
+TEST(group_controller, stages_hosts_for_a_group_that_lacks_members) {
+  fleet_run run = serving_fleet(10, idle_spares());
   // A second loss in one domain leaves the larger model without a spare there.
   const std::string domain = "d2";
   for (int lost = 0; lost < 2; ++lost) {
     for (const auto& [id, server] : run.fleet.directory().servers()) {
-      const auto& said = server.entry.membership;
-      if (server.entry.domain != domain || said.rank != 1) continue;
-      if (group_model(said.group) != "large") continue;
+      const auto& membership = server.entry.membership;
+      if (server.entry.domain != domain || membership.rank != 1) continue;
+      if (group_model(membership.group) != "large") continue;
       run.fleet.kill(id, run.now);
-      run.notice(id);
+      run.report_suspect(id);
       break;
     }
     run.run_for(absl::Seconds(5));
@@ -608,21 +616,21 @@
             std::vector<std::string>{"large"});
 }
 
-/// One random fault.
-void strike(fleet_run& run) {
-  const std::string id = run.some_server();
+/// Injects one random fault.
+void inject_fault(fleet_run& run) {
+  const std::string id = run.random_server();
   switch (run.random.below(7)) {
     case 0:
       run.fleet.kill(id, run.now);
-      run.notice(id);
+      run.report_suspect(id);
       break;
     case 1:
-      run.fleet.set_dark(id, true);
-      run.notice(id);
+      run.fleet.set_isolated(id, true);
+      run.report_suspect(id);
       break;
     case 2:
-      for (const auto& other : run.fleet.living()) {
-        run.fleet.set_dark(other, false);
+      for (const auto& other : run.fleet.live_servers()) {
+        run.fleet.set_isolated(other, false);
       }
       break;
     case 3:
@@ -632,7 +640,7 @@
       run.fleet.add(absl::StrCat("d", run.random.below(6)), run.now);
       break;
     case 5: {
-      // The holder dies; another takes over once the lease has run out.
+      // The holder fails; another one takes over once the lease has expired.
       const absl::Time since = run.now;
       while (run.now - since < absl::Milliseconds(1700)) {
         run.now += step_time;
@@ -648,17 +656,17 @@
   }
 }
 
-RC_GTEST_PROP(group_controller, breaks_no_rule_whatever_strikes, ()) {
+RC_GTEST_PROP(group_controller, breaks_no_rule_under_random_faults, ()) {
   const auto seed = *rc::gen::arbitrary<uint64_t>();
-  fleet_run run = standing_fleet(
+  fleet_run run = serving_fleet(
       seed, seed % 2 == 0 ? idle_spares() : group_controller_options());
   for (int i = 0; i < 20; ++i) {
-    strike(run);
+    inject_fault(run);
     run.run_for(absl::Milliseconds(100 + 40 * run.random.below(60)));
   }
   run.fleet.faults = {};
-  for (const auto& id : run.fleet.living()) {
-    run.fleet.set_dark(id, false);
+  for (const auto& id : run.fleet.live_servers()) {
+    run.fleet.set_isolated(id, false);
   }
   run.run_for(absl::Seconds(60));
   for (const auto& breach : run.fleet.breaches()) RC_LOG() << breach << "\n";
--- a/test/node-fixture.h
+++ b/test/node-fixture.h
@@ -1,4 +1,4 @@
-// A fixture with a small fleet on loopback and nodes before it.
+// Test fixture: a small fleet on loopback with nodes in front of it.
 #pragma once
 
 #include <absl/strings/str_cat.h>
@@ -27,13 +27,14 @@
 using standin::fleet_standin;
 using fleet_request = fleet_standin::request;
 
-/// Longest that a test waits for something that has to come about.
-inline constexpr absl::Duration patience = absl::Seconds(20);
+/// Maximum time that a test waits for a condition.
+inline constexpr absl::Duration wait_timeout = absl::Seconds(20);
 
 inline constexpr int stream_events = 12;
 
-/// An address that nothing else uses: a loopback number of this process' own,
-/// so that no port that another socket was just given can be the same.
+/// Returns an unused address. The loopback IP address is derived from the
+/// process id, so that the port cannot collide with an ephemeral port that was
+/// just assigned to another socket.
 inline std::string free_address() {
   static int port = 20000;
   const auto id = static_cast<unsigned>(getpid());
@@ -46,7 +47,7 @@
   return *log;
 }
 
-/// A fleet with nodes before it; its loop runs on a thread of its own.
+/// A fleet with nodes in front of it; the event loop runs on its own thread.
 class node_test : public testing::Test {
  protected:
   explicit node_test(int hosts = 6, int domains = 1)
@@ -58,7 +59,8 @@
   ~node_test() override {
     this->loop->stop();
     if (this->thread.joinable()) this->thread.join();
-    // Coroutines that still wait hold on to the nodes; all go with the process.
+    // Suspended coroutines refer to the loop, the nodes and the fleet, so these
+    // are leaked.
     this->loop.release();
     for (auto& node : this->nodes) node.release();
     this->fleet.release();
@@ -73,17 +75,17 @@
     s->metrics_address = free_address();
     s->peer_address = free_address();
     s->platform_address = this->fleet->store_address();
-    s->bounds.revoke_time = absl::Seconds(3);
-    s->bounds.evacuate_time = this->evacuate_time;
+    s->bounds.revoke_deadline = absl::Seconds(3);
+    s->bounds.evacuate_deadline = this->evacuate_deadline;
     s->keys_fail_closed = this->keys_fail_closed;
     s->policy = this->policy;
     s->memory = this->memory;
     s->stop_grace = absl::Seconds(8);
-    s->repeats = this->repeats;
+    s->retries = this->retries;
     s->lease.duration = absl::Milliseconds(1200);
-    s->lease.renew_every = absl::Milliseconds(300);
+    s->lease.renew_period = absl::Milliseconds(300);
     s->lease.margin = absl::Milliseconds(300);
-    s->lease.takeover_spread = absl::Milliseconds(100);
+    s->lease.takeover_jitter = absl::Milliseconds(100);
     this->nodes.push_back(
         std::make_unique<node_process>(*s, *this->loop, test_log()));
     ASSERT_TRUE(this->nodes.back()->listen());
@@ -91,7 +93,7 @@
     this->settings.push_back(std::move(s));
   }
 
-  /// Has the store remember the first node from an earlier start.
+  /// Adds the first node to the store's list, as an earlier start would.
   void enroll_first_node() {
     const node_settings& s = *this->settings.front();
     this->fleet->enroll_node(
@@ -112,10 +114,10 @@
     return result.get();
   }
 
-  bool wait_until(const std::function<bool()>& done) {
-    const absl::Time until = boot_now() + patience;
+  bool wait_until(const std::function<bool()>& condition) {
+    const absl::Time until = boot_now() + wait_timeout;
     while (boot_now() < until) {
-      if (this->on_loop(done)) return true;
+      if (this->on_loop(condition)) return true;
       std::this_thread::sleep_for(std::chrono::milliseconds(10));
     }
     return false;
@@ -135,17 +137,17 @@
       }
       return true;
     }));
-    if (this->nodes_are_old) this->age_nodes(count);
+    if (this->nodes_long_running) this->simulate_long_uptime(count);
   }
 
-  /// Has the nodes spend repeats as those that have run for long: a process
-  /// that has just started leaves them to the one before it.
-  void age_nodes(int count) {
+  /// Gives the nodes the retry budget of long-running processes. A process that
+  /// has just started leaves the budget to its predecessor.
+  void simulate_long_uptime(int count) {
     this->on_loop([this, count] {
       for (auto& node : this->nodes) {
         node_context& state = node->context();
-        state.repeats = repeat_budget(this->repeats, absl::InfinitePast());
-        state.fleet.note(count, state.now());
+        state.retries = retry_budget(this->retries, absl::InfinitePast());
+        state.fleet.record(count, state.now());
       }
       return 0;
     });
@@ -176,7 +178,7 @@
     return socket;
   }
 
-  fleet_standin::response ask(fleet_request out, int node = 0) {
+  fleet_standin::response send_request(fleet_request out, int node = 0) {
     auto socket = this->connect(node);
     out.prepare_payload();
     http::write(socket, out);
@@ -188,8 +190,8 @@
     return in;
   }
 
-  /// What comes back for raw bytes, until the connection closes.
-  std::string ask_raw(const std::string& bytes) {
+  /// Sends raw bytes and returns the answer, read until the connection closes.
+  std::string send_raw(const std::string& bytes) {
     auto socket = this->connect();
     net::write(socket, net::buffer(bytes));
     std::string in;
@@ -214,15 +216,16 @@
     return out;
   }
 
-  /// The second member of a group that serves.
+  /// Returns the second member of a serving group.
   std::string serving_member() {
     return this->on_loop([this] {
       const std::string head = this->fleet->serving_head("large");
       const auto& servers = this->fleet->engines().directory().servers();
-      const auto& led = servers.at(head).entry.membership;
+      const auto& head_membership = servers.at(head).entry.membership;
       for (const auto& [id, server] : servers) {
-        const auto& said = server.entry.membership;
-        if (said.group == led.group && said.rank == 1) return id;
+        const auto& membership = server.entry.membership;
+        if (membership.group == head_membership.group && membership.rank == 1)
+          return id;
       }
       return std::string();
     });
@@ -235,14 +238,14 @@
   std::unique_ptr<net::io_context> loop = std::make_unique<net::io_context>();
   std::unique_ptr<fleet_standin> fleet;
   std::vector<std::unique_ptr<node_settings>> settings;
-  /// Of nodes that are yet to be added.
+  /// Settings for nodes that are added later.
   bool keys_fail_closed = true;
   node_policy policy;
   size_t memory = 0;
-  /// Whether nodes count as having run for long once they have started.
-  bool nodes_are_old = true;
-  repeat_limits repeats{0.2, absl::Seconds(10), 100};
-  std::optional<absl::Duration> evacuate_time;
+  /// Whether `start` gives the nodes the retry budget of long-running ones.
+  bool nodes_long_running = true;
+  retry_limits retries{0.2, absl::Seconds(10), 100};
+  std::optional<absl::Duration> evacuate_deadline;
   std::vector<std::unique_ptr<node_process>> nodes;
   std::thread thread;
   net::io_context client;
--- a/test/node-settings-test.cc
+++ b/test/node-settings-test.cc
@@ -1,5 +1,4 @@
-// The settings of a node: what is read, what is checked, what holds if a key
-// is not there.
+// A node's settings: parsing, validation and defaults.
 #include "node-settings.h"
 
 #include <gtest/gtest.h>
@@ -14,12 +13,12 @@
 
 namespace leaf = boost::leaf;
 
-const std::string least =
+const std::string minimal_settings =
     "node: n1\nhall: h1\nlisten:\n  callers: 127.0.0.1:1\n"
     "  ready: 127.0.0.1:2\n  metrics: 127.0.0.1:3\n  peers: 127.0.0.1:4\n"
     "platform: 127.0.0.1:5\n";
 
-/// Reads settings from a text. `faults` gets the keys that are at fault.
+/// Reads settings from a text. Appends the invalid keys to `faults`.
 node_settings read(const std::string& text, std::vector<std::string>& faults) {
   const std::string file = testing::TempDir() + "node-settings-test.yaml";
   std::ofstream(file) << text;
@@ -35,23 +34,23 @@
   return out;
 }
 
-TEST(node_settings, have_defaults_on_the_safe_side) {
+TEST(node_settings, have_safe_defaults) {
   std::vector<std::string> faults;
-  const node_settings settings = read(least, faults);
+  const node_settings settings = read(minimal_settings, faults);
   EXPECT_TRUE(faults.empty());
   EXPECT_TRUE(settings.keys_fail_closed);
   EXPECT_TRUE(settings.policy.repeat_failed_calls);
   EXPECT_TRUE(settings.groups.spares_serve);
-  EXPECT_FALSE(settings.bounds.evacuate_time);
+  EXPECT_FALSE(settings.bounds.evacuate_deadline);
   EXPECT_FALSE(settings.policy.admit_in_time);
   EXPECT_FALSE(settings.policy.learn_speeds);
   EXPECT_FALSE(settings.groups.follow_demand);
 }
 
-TEST(node_settings, take_the_platforms_bounds_and_the_operators_policy) {
+TEST(node_settings, read_bounds_and_policy) {
   std::vector<std::string> faults;
   const node_settings settings =
-      read(least +
+      read(minimal_settings +
                "cores: 0.125\nmemory_mb: 160\n"
                "bounds:\n  keys_fail_closed: false\n  repeat_slack: 7\n"
                "  config_ms: 4000\n  drain_ms: 3000\n  evacuate_ms: 5000\n"
@@ -63,25 +62,26 @@
   EXPECT_TRUE(faults.empty());
   EXPECT_EQ(settings.cores, 0.125F);
   EXPECT_EQ(settings.memory, size_t{160} << 20);
-  EXPECT_EQ(settings.bounds.evacuate_time, absl::Seconds(5));
+  EXPECT_EQ(settings.bounds.evacuate_deadline, absl::Seconds(5));
   EXPECT_TRUE(settings.policy.admit_in_time);
   EXPECT_TRUE(settings.policy.learn_speeds);
   EXPECT_TRUE(settings.groups.follow_demand);
-  EXPECT_EQ(settings.bounds.config_time, absl::Seconds(4));
-  EXPECT_EQ(settings.bounds.drain_time, absl::Seconds(3));
-  EXPECT_EQ(settings.groups.leave_hold, absl::Milliseconds(2100));
+  EXPECT_EQ(settings.bounds.config_deadline, absl::Seconds(4));
+  EXPECT_EQ(settings.bounds.drain_deadline, absl::Seconds(3));
+  EXPECT_EQ(settings.groups.leaving_member_grace, absl::Milliseconds(2100));
   EXPECT_TRUE(settings.groups.smaller_yield);
   EXPECT_FALSE(settings.keys_fail_closed);
-  EXPECT_EQ(settings.repeats.slack, 7);
+  EXPECT_EQ(settings.retries.slack, 7);
   EXPECT_FALSE(settings.policy.repeat_failed_calls);
   EXPECT_FALSE(settings.groups.spares_serve);
   EXPECT_FALSE(settings.groups.warm_spares);
   EXPECT_EQ(settings.groups.spare_share, 0.3);
 }
 
-TEST(node_settings, refuse_what_nobody_reads_and_what_is_out_of_range) {
+TEST(node_settings, reject_unknown_keys_and_values_out_of_range) {
   std::vector<std::string> faults;
-  read(least + "policy:\n  spare_share: 2\n  no_such_policy: 1\n", faults);
+  read(minimal_settings + "policy:\n  spare_share: 2\n  no_such_policy: 1\n",
+       faults);
   EXPECT_EQ(faults.size(), 2U);
 }
 
--- a/test/relay-choice-test.cc
+++ b/test/relay-choice-test.cc
@@ -1,4 +1,4 @@
-// From whom nodes hear of changes.
+// Choice of relays in a data hall.
 #include "spokesail/relay-choice.h"
 
 #include <absl/strings/str_cat.h>
@@ -20,7 +20,7 @@
   return relay_order(nodes);
 }
 
-/// What `self`, a node of the hall, sees.
+/// The view of `self`, a node of the hall.
 relay_view view_of(const std::string& self) {
   relay_view view;
   view.self = {self, 1};
@@ -30,13 +30,13 @@
   return view;
 }
 
-TEST(relay_choice, one_node_of_a_hall_watches_and_the_others_ask_it) {
+TEST(relay_choice, one_node_of_a_hall_watches_and_relays_to_the_others) {
   for (const auto& name : hall) {
     EXPECT_EQ(choose_relay(view_of(name)).upstream, order()[0]);
   }
 }
 
-TEST(relay_choice, the_halls_first_node_asks_the_holder_elsewhere) {
+TEST(relay_choice, first_node_uses_a_holder_in_another_hall) {
   for (const auto& name : hall) {
     relay_view view = view_of(name);
     view.holder = "b1";
@@ -45,53 +45,53 @@
   }
 }
 
-TEST(relay_choice, all_ask_a_holder_of_their_own_hall) {
+TEST(relay_choice, all_use_a_holder_in_their_hall) {
   for (const auto& name : hall) {
     relay_view view = view_of(name);
     view.holder = order()[4];
-    view.holder_near = true;
+    view.holder_in_hall = true;
     EXPECT_EQ(choose_relay(view).upstream, order()[4]);
   }
 }
 
-TEST(relay_choice, relays_that_failed_are_passed_over_in_order) {
+TEST(relay_choice, failed_relays_are_skipped_in_order) {
   relay_view view = view_of(order()[5]);
-  view.passed_over = {order()[0]};
+  view.excluded = {order()[0]};
   EXPECT_EQ(choose_relay(view).upstream, order()[1]);
-  view.passed_over.insert(order()[1]);
+  view.excluded.insert(order()[1]);
   EXPECT_EQ(choose_relay(view).upstream, order()[2]);
   for (size_t next = 2; next < 5; ++next) {
     EXPECT_EQ(choose_relay(view).upstream, order()[next]);
-    view.passed_over.insert(order()[next]);
+    view.excluded.insert(order()[next]);
   }
   EXPECT_EQ(choose_relay(view).upstream, view.self.name);
   view.holder = "b1";
   EXPECT_EQ(choose_relay(view).upstream, "b1");
 }
 
-TEST(relay_choice, only_the_first_of_a_hall_are_relied_on) {
+TEST(relay_choice, only_the_first_nodes_of_a_hall_are_candidates) {
   size_t candidates = 0;
   for (const auto& name : hall) {
-    candidates += choose_relay(view_of(name)).candidate ? 1 : 0;
+    candidates += choose_relay(view_of(name)).top_ranked ? 1 : 0;
   }
-  EXPECT_EQ(candidates, most_relays);
+  EXPECT_EQ(candidates, top_ranked_per_hall);
 }
 
-TEST(relay_choice, nodes_that_agree_never_ask_in_a_circle) {
-  // Each node may have passed over any two others.
+TEST(relay_choice, equal_views_never_form_a_cycle) {
+  // Each node may have excluded any two others.
   for (const auto& x : hall) {
     for (const auto& y : hall) {
-      std::map<std::string, std::string> asks;
+      std::map<std::string, std::string> upstreams;
       for (const auto& name : hall) {
         relay_view view = view_of(name);
-        view.passed_over = {x, y};
-        asks[name] = choose_relay(view).upstream;
+        view.excluded = {x, y};
+        upstreams[name] = choose_relay(view).upstream;
       }
       for (const auto& name : hall) {
         std::string at = name;
         size_t hops = 0;
-        while (asks[at] != at && hops <= hall.size()) {
-          at = asks[at];
+        while (upstreams[at] != at && hops <= hall.size()) {
+          at = upstreams[at];
           ++hops;
         }
         EXPECT_LE(hops, hall.size()) << name;
@@ -111,16 +111,16 @@
   return out;
 }
 
-/// Whom each node asks when all have passed over the same nodes.
-std::map<std::string, std::string> asked_by_all(
+/// The relay of each node when all have excluded the same nodes.
+std::map<std::string, std::string> upstreams_of_all(
     const std::vector<relay_candidate>& nodes, const std::string& holder,
-    const std::set<std::string>& passed_over) {
+    const std::set<std::string>& excluded) {
   std::map<std::string, std::string> out;
   for (const auto& self : nodes) {
     relay_view view;
     view.self = self;
     view.holder = holder;
-    view.passed_over = passed_over;
+    view.excluded = excluded;
     for (const auto& peer : nodes) {
       if (!(peer == self)) view.hall_peers.push_back(peer);
     }
@@ -129,12 +129,13 @@
   return out;
 }
 
-/// The load of a large hall: a node that all others ask is late for all.
-TEST(relay_choice, no_relay_of_a_large_hall_answers_more_than_its_children) {
+/// In a large hall, a node that all others used as their relay would be slow
+/// for all.
+TEST(relay_choice, no_relay_of_a_large_hall_exceeds_its_fan_out) {
   for (const int size : {3, 12, 60, 200}) {
     const auto nodes = hall_of(size);
     std::map<std::string, size_t> children;
-    for (const auto& [name, upstream] : asked_by_all(nodes, "holder", {})) {
+    for (const auto& [name, upstream] : upstreams_of_all(nodes, "holder", {})) {
       children[upstream]++;
     }
     for (const auto& node : nodes) {
@@ -144,32 +145,32 @@
   }
 }
 
-TEST(relay_choice, a_node_has_children_by_its_size) {
+TEST(relay_choice, fan_out_follows_the_share_of_a_core) {
   EXPECT_EQ(relay_fan_out(0.5F), 24U);
   EXPECT_EQ(relay_fan_out(0.125F), 6U);
   EXPECT_EQ(relay_fan_out(0.01F), 4U);
   EXPECT_EQ(relay_fan_out(16), 32U);
 }
 
-TEST(relay_choice, news_reach_sixty_nodes_in_three_steps) {
-  const auto asks = asked_by_all(hall_of(60), "holder", {});
-  for (const auto& [name, upstream] : asks) {
+TEST(relay_choice, updates_reach_sixty_nodes_in_three_steps) {
+  const auto upstreams = upstreams_of_all(hall_of(60), "holder", {});
+  for (const auto& [name, upstream] : upstreams) {
     int steps = 0;
-    for (std::string at = name; at != "holder"; at = asks.at(at)) ++steps;
+    for (std::string at = name; at != "holder"; at = upstreams.at(at)) ++steps;
     EXPECT_LE(steps, 3) << name;
   }
 }
 
-TEST(relay_choice, nodes_with_more_of_a_core_pass_news_on) {
+TEST(relay_choice, nodes_with_more_of_a_core_rank_first) {
   const auto nodes = hall_of(60);
   std::map<std::string, float> cores;
   for (const auto& node : nodes) cores[node.name] = node.cores;
   const auto first = relay_order(nodes);
-  for (size_t i = 0; i < most_relays; ++i) EXPECT_EQ(cores[first[i]], 0.5F);
+  for (size_t i = 0; i < top_ranked_per_hall; ++i)
+    EXPECT_EQ(cores[first[i]], 0.5F);
 }
 
-RC_GTEST_PROP(relay_choice, one_node_of_a_hall_watches_whatever_has_failed,
-              ()) {
+RC_GTEST_PROP(relay_choice, at_most_one_node_watches_after_any_failures, ()) {
   const int size = *rc::gen::element(2, 9, 60, 120);
   const auto nodes = hall_of(size);
   std::set<std::string> failed;
@@ -178,8 +179,8 @@
     failed.insert(nodes[*rc::gen::inRange<size_t>(0, nodes.size())].name);
   }
   int watching = 0;
-  for (const auto& [name, upstream] : asked_by_all(nodes, "", failed)) {
-    // A node that the others have passed over asks or watches by itself.
+  for (const auto& [name, upstream] : upstreams_of_all(nodes, "", failed)) {
+    // A node that the others have excluded has a relay or watches by itself.
     if (upstream == name && failed.count(name) == 0) ++watching;
     RC_ASSERT(upstream == name || failed.count(upstream) == 0);
   }
--- a/test/server-limit-test.cc
+++ b/test/server-limit-test.cc
@@ -2,7 +2,7 @@
 #include <atomic>
 
 #include "node-fixture.h"
-#include "spokesail/cold-timing.h"
+#include "spokesail/grant-timing.h"
 
 namespace spokesail {
 namespace {
@@ -13,7 +13,7 @@
 /// Length of the window in which a platform counts a server's requests.
 constexpr absl::Duration window = absl::Seconds(4);
 /// Time that nodes have to comply after a limit is first advertised.
-constexpr absl::Duration notice = absl::Seconds(3);
+constexpr absl::Duration notice_period = absl::Seconds(3);
 
 /// Maximum number of requests to a server within a window.
 double allowed(double per_s) {
@@ -41,8 +41,8 @@
     const auto call = [&] {
       while (boot_now() < until) {
         const int number = this->sent++;
-        const auto answer = this->ask(request(absl::StrCat("request-", number)),
-                                      number % node_count);
+        const auto answer = this->send_request(
+            request(absl::StrCat("request-", number)), number % node_count);
         if (answer.result_int() == 200) this->served++;
       }
     };
@@ -65,23 +65,23 @@
 
   /// Maximum number of requests that one server received in a window after the
   /// notice period.
-  int most_in_a_window() {
+  int max_in_a_window() {
     const auto arrivals =
         this->on_loop([this] { return this->fleet->record.arrivals; });
     std::map<std::string, std::vector<absl::Time>> times;
     for (const auto& arrival : arrivals) {
-      if (arrival.at < this->advertised_at + notice) continue;
+      if (arrival.at < this->advertised_at + notice_period) continue;
       times[arrival.server].push_back(arrival.at);
     }
-    int most = 0;
+    int max_count = 0;
     for (const auto& [server, when] : times) {
       size_t first = 0;
       for (size_t last = 0; last < when.size(); ++last) {
         while (when[last] - when[first] >= window) ++first;
-        most = std::max(most, static_cast<int>(last - first + 1));
+        max_count = std::max(max_count, static_cast<int>(last - first + 1));
       }
     }
-    return most;
+    return max_count;
   }
 
   absl::Time advertised_at;
@@ -90,32 +90,32 @@
 };
 
 // Guards against a combined load above the advertised limit.
-TEST_F(server_limit_test, groups_get_no_more_than_their_heads_name) {
+TEST_F(server_limit_test, groups_get_no_more_than_their_limit) {
   this->start(node_count);
   this->advertise_limit("lm", "1.4");
-  this->send_load(notice + window, stream_request);
-  EXPECT_LE(this->most_in_a_window(), allowed(1.4));
+  this->send_load(notice_period + window, stream_request);
+  EXPECT_LE(this->max_in_a_window(), allowed(1.4));
   EXPECT_GT(this->served, 0);
 }
 
 // Guards against the same overload of servers without groups.
-TEST_F(server_limit_test, plain_servers_get_no_more_than_they_name) {
+TEST_F(server_limit_test, plain_servers_get_no_more_than_their_limit) {
   this->start(node_count);
   this->advertise_limit("status", "1.4");
-  this->send_load(notice + window, [](const std::string& id) {
+  this->send_load(notice_period + window, [](const std::string& id) {
     return request(id, "/look/now");
   });
-  EXPECT_LE(this->most_in_a_window(), allowed(1.4));
+  EXPECT_LE(this->max_in_a_window(), allowed(1.4));
   EXPECT_GT(this->served, 0);
 }
 
 // Guards against refusals without a usable Retry-After.
-TEST_F(server_limit_test, refusals_say_when_to_come_back) {
+TEST_F(server_limit_test, refusals_have_retry_after) {
   this->start(node_count);
   this->advertise_limit("lm", "1");
   for (int i = 0; i < 60; ++i) {
-    const auto answer =
-        this->ask(stream_request(absl::StrCat("request-", i)), i % node_count);
+    const auto answer = this->send_request(
+        stream_request(absl::StrCat("request-", i)), i % node_count);
     if (answer.result_int() == 200) continue;
     EXPECT_EQ(answer.result_int(), 503U);
     EXPECT_EQ(answer.body(), "servers have reached their limits");
@@ -125,10 +125,10 @@
     EXPECT_EQ(this->runs(absl::StrCat("request-", i)), 0);
     return;
   }
-  FAIL() << "none was refused";
+  FAIL() << "no request was refused";
 }
 
-// Guards against an outage of limited servers while nobody holds the lease.
+// Guards against an outage of limited servers while no node holds the lease.
 TEST_F(server_limit_test, nodes_use_their_shares_without_a_holder) {
   this->start(node_count);
   this->advertise_limit("lm", "20");
@@ -136,7 +136,7 @@
   this->on_loop([this] { this->fleet->faults.store_silent = true; });
   ASSERT_TRUE(this->wait_until([this] { return !this->any_holds_lease(); }));
   std::this_thread::sleep_for(
-      absl::ToChronoMilliseconds(cold_timing().grant_time));
+      absl::ToChronoMilliseconds(grant_timing().grant_lifetime));
   this->served = 0;
   this->send_load(window, stream_request);
   EXPECT_GT(this->served, 0);
@@ -152,7 +152,9 @@
   EXPECT_TRUE(this->on_loop([this] { return this->no_limits(); }));
   for (int i = 0; i < 30; ++i) {
     const auto id = absl::StrCat("after-", i);
-    EXPECT_EQ(this->ask(stream_request(id), i % node_count).result_int(), 200U);
+    EXPECT_EQ(
+        this->send_request(stream_request(id), i % node_count).result_int(),
+        200U);
   }
 }
 
@@ -160,7 +162,8 @@
 TEST_F(server_limit_test, nodes_gossip_limits) {
   this->start(node_count);
   this->advertise_limit("lm", "5");
-  EXPECT_EQ(this->ask(stream_request("request-1"), 0).result_int(), 200U);
+  EXPECT_EQ(this->send_request(stream_request("request-1"), 0).result_int(),
+            200U);
   EXPECT_TRUE(this->wait_until([this] {
     return std::all_of(
         this->nodes.begin(), this->nodes.end(),
@@ -174,7 +177,9 @@
   this->advertise_limit("lm", "many");
   for (int i = 0; i < 30; ++i) {
     const auto id = absl::StrCat("request-", i);
-    EXPECT_EQ(this->ask(stream_request(id), i % node_count).result_int(), 200U);
+    EXPECT_EQ(
+        this->send_request(stream_request(id), i % node_count).result_int(),
+        200U);
   }
 }
 
